--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -85,8 +85,8 @@
         "10.0.0.1:7380",
         True,
         engines,
-        facts.Seen(12, 0.1),
-        facts.Seen(123_456, 0.1),
+        facts.WatchProgress(12, 0.1),
+        facts.WatchProgress(123_456, 0.1),
         tuple(facts.Usage(n, 12, (400,)) for n in names),
     )
 
--- a/src/wayslip/control/executor.py
+++ b/src/wayslip/control/executor.py
@@ -163,8 +163,8 @@
                 endpoint.name, endpoint.capacity, endpoint.checks_fence
             )
             now = time.time()
-            for owed in self._owed.get(endpoint.name, {}).values():
-                ledger = owed(ledger)
+            for unserved in self._owed.get(endpoint.name, {}).values():
+                ledger = unserved(ledger)
             ledger = self._give_up_stale(ledger, now)
             return ledger.observe(report.residency, now, quarantine)
 
@@ -387,8 +387,8 @@
     def _owe(
         self, subject: _Subject, attempt_id: str, step: LedgerStep
     ) -> None:
-        owed = self._owed.setdefault(subject.endpoint.name, {})
-        owed[attempt_id] = step
+        unserved = self._owed.setdefault(subject.endpoint.name, {})
+        unserved[attempt_id] = step
 
 
 def _begin(
--- a/src/wayslip/decisions/access.py
+++ b/src/wayslip/decisions/access.py
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sight:
+class ConfigurationStatus:
     """What is known of the configuration in force.
 
     Attributes:
@@ -40,7 +40,7 @@
     manifest: manifest_module.Manifest,
     route: manifest_module.Route,
     key: bytes | None,
-    sight: Sight,
+    sight: ConfigurationStatus,
 ) -> tuple[Verdict, organisations.Organisation | None]:
     """Returns what a request's key is worth, and whose it is.
 
--- a/src/wayslip/decisions/condition.py
+++ b/src/wayslip/decisions/condition.py
@@ -52,6 +52,6 @@
         rate = self.failing(now) * (1 - _WEIGHT) + _WEIGHT
         return Condition(rate, now, self.misses + 1, now + rest)
 
-    def is_resting(self, now: float) -> bool:
+    def is_backing_off(self, now: float) -> bool:
         """Whether it should not be used now."""
         return now < self.rests_until
--- a/src/wayslip/decisions/copies.py
+++ b/src/wayslip/decisions/copies.py
@@ -12,7 +12,7 @@
 
 # Over how long a load has to pay. Demand moves to other models within half a
 # minute.
-HORIZON = 12.0
+HORIZON_SECONDS = 12.0
 # Share of an engine's time that reading prompts may take before the first
 # tokens come late. Prompts differ sixfold in length and come in clumps: at 0.65
 # of the time, by the rates that engines have, one that comes waits for most of
@@ -40,7 +40,7 @@
 MOVING_LOSS = 0.6
 # A loaded model is not taken away for this long, so that the requests it was
 # loaded for can come back for it.
-SETTLE = 4.0
+SETTLE_SECONDS = 4.0
 # Unloading waits for a model's runs, seconds; a model without demand has none.
 UNLOAD_SECONDS = 1.5
 _IDLE_RATE = 0.1
@@ -53,7 +53,7 @@
     Attributes:
         rate: All requests.
         work: Seconds that an engine takes to read their prompts, a second.
-        owed: What loading it gains besides, requests: it was asked for in
+        unserved: What loading it gains besides, requests: it was asked for in
             vain, and nobody may be refused for ever.
         missing_adapter: Those for an adapter that is probably not loaded; an
             engine that loads a model can not load one meanwhile.
@@ -61,7 +61,7 @@
 
     rate: float
     work: float = 0.0
-    owed: float = 0.0
+    unserved: float = 0.0
     missing_adapter: float = 0.0
 
 
@@ -116,7 +116,7 @@
 
     held: tuple[str, ...] = ()
     coming: int = 0
-    arrival: float = HORIZON
+    arrival: float = HORIZON_SECONDS
 
     @property
     def soonest(self) -> float:
@@ -125,13 +125,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Want:
+class CopyValue:
     """What one more copy of a model is wanted for.
 
     Attributes:
         soonest: Seconds until the model can serve somewhere.
         rate: Requests a second.
-        owed: Requests that a first copy gains besides.
+        unserved: Requests that a first copy gains besides.
         late: Work that its engines do late, seconds a second.
         lost: Work that they can not do at all.
         requests: How many requests a second of work is.
@@ -139,7 +139,7 @@
 
     soonest: float
     rate: float
-    owed: float
+    unserved: float
     late: float
     lost: float
     requests: float
@@ -151,11 +151,13 @@
             seconds: When it can serve.
             spare: Work that its engine has time for.
         """
-        gain = max(self.soonest - seconds, 0.0) * self.rate + self.owed
+        gain = max(self.soonest - seconds, 0.0) * self.rate + self.unserved
         lost = min(self.lost, spare)
         late = min(self.late, spare - lost)
         saved = (lost * OVERLOAD_WORTH + late * SPREAD_WORTH) * self.requests
-        return gain + saved * max(HORIZON - max(seconds, self.soonest), 0.0)
+        return gain + saved * max(
+            HORIZON_SECONDS - max(seconds, self.soonest), 0.0
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -231,7 +233,7 @@
 
     def _find_capacity(self, engine: Engine) -> float:
         """Returns the part of the horizon that an engine serves in."""
-        served = 1.0 - min(engine.rest / HORIZON, 1.0)
+        served = 1.0 - min(engine.rest / HORIZON_SECONDS, 1.0)
         if engine.limit is None:
             return served
         asked = sum(
@@ -261,17 +263,17 @@
         asked = self.demand(model)
         return work / asked.work * asked.rate if asked.work else 0.0
 
-    def find_want(self, model: str) -> Want:
+    def find_copy_value(self, model: str) -> CopyValue:
         """Returns what one more copy of a model is wanted for."""
         copies = self.copies[model]
         asked = self.demand(model)
         is_nowhere = not copies.held and not copies.coming
         # Copies on their way will take a part of what is too much now.
         late, lost = self._sum_excess(model)
-        return Want(
+        return CopyValue(
             soonest=copies.soonest,
             rate=asked.rate,
-            owed=asked.owed if is_nowhere else 0.0,
+            unserved=asked.unserved if is_nowhere else 0.0,
             late=late / (1 + copies.coming),
             lost=lost / (1 + copies.coming),
             requests=asked.rate / asked.work if asked.work else 0.0,
@@ -334,11 +336,11 @@
         if len(copies.held) <= 1:
             # What was loaded because of requests in vain stays until one of
             # them has come back for it.
-            return (rate + RESERVE) * copies.arrival + asked.owed
+            return (rate + RESERVE) * copies.arrival + asked.unserved
         others = sum(self.spare[n] for n in copies.held if n != engine)
         moved = max(self._part(model) - others, 0.0)
         late = self._count_requests(model, moved) * SPREAD_WORTH
-        return (late + 0.02 * rate) * HORIZON
+        return (late + 0.02 * rate) * HORIZON_SECONDS
 
 
 def _find_copies(
@@ -355,7 +357,7 @@
         m: Copies(
             tuple(names),
             len(coming.get(m, ())),
-            min([*coming.get(m, ()), HORIZON]),
+            min([*coming.get(m, ()), HORIZON_SECONDS]),
         )
         for m, names in held.items()
     }
--- a/src/wayslip/decisions/detachment.py
+++ b/src/wayslip/decisions/detachment.py
@@ -4,8 +4,8 @@
 its engine. While the store answers nobody, nobody can write, and the holder of
 the lease may go on without it, as long as every instance agrees: each says
 that the store does not answer it and that it heard the holder just now. An
-instance that heard so keeps away from all engines for `HOLD_OFF` and the
-distance between holders, whatever it writes later. The store stays the only
+instance that heard so keeps away from all engines for `HOLD_OFF_SECONDS` and
+the distance between holders, whatever it writes later. The store stays the only
 place where the lease changes hands; the instances agree on nothing but that
 it is away.
 """
@@ -17,20 +17,20 @@
 # answers, seconds: four reports of a fleet of 200, where each instance reports
 # every 0.5 s and its word is 0.8 s old when the next one comes. Less than that
 # turned every lost datagram of one instance into a pause of all orders.
-ECHO = 2.0
+ECHO_SECONDS = 2.0
 # An instance that reaches the store again is given to the holder for so long
 # before it yields, seconds; the holder tries several times meanwhile.
-RETURN = 0.8
+RETURN_SECONDS = 0.8
 # An instance that fell silent without saying that it stops may be cut off from
 # us and not from the store. It takes the lease then, within two seconds; one
 # that has not done so after this long while ours was renewed is gone, or cut
 # off from the store too, seconds.
-MISSING = 4.0
+MISSING_SECONDS = 4.0
 # An order that was decided on an instance's word may still leave and travel,
 # seconds.
 _ON_ITS_WAY = 0.5
 # How long after a detached holder was last heard it may still order, seconds.
-HOLD_OFF = ECHO + _ON_ITS_WAY
+HOLD_OFF_SECONDS = ECHO_SECONDS + _ON_ITS_WAY
 
 
 def make_stamp(now: float) -> int:
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
+class PeerStatus:
     """What an instance said of itself.
 
     Attributes:
@@ -82,7 +82,7 @@
     reached_since: float | None = None
 
     def judge(
-        self, words: Iterable[Word], is_anyone_missing: bool, now: float
+        self, words: Iterable[PeerStatus], is_anyone_missing: bool, now: float
     ) -> "Detachment":
         """Returns what the holder may do, given all instances' last words.
 
@@ -103,10 +103,10 @@
             if not self.is_granted:
                 return NONE
             since = now if self.reached_since is None else self.reached_since
-            if now - since >= RETURN:
+            if now - since >= RETURN_SECONDS:
                 return NONE
         proposed = now if self.proposed_at is None else self.proposed_at
-        oldest = max(proposed, now - ECHO)
+        oldest = max(proposed, now - ECHO_SECONDS)
         has_all = all(w.echoed_at >= oldest for w in known)
         return Detachment(proposed, has_all, since)
 
--- a/src/wayslip/decisions/health.py
+++ b/src/wayslip/decisions/health.py
@@ -10,7 +10,7 @@
 import enum
 
 
-class Sign(enum.StrEnum):
+class LeavingSource(enum.StrEnum):
     """Where the word of an endpoint's leaving came from."""
 
     LIST = "list"
@@ -31,7 +31,7 @@
     """
 
     left_at: float | None = None
-    sign: Sign | None = None
+    sign: LeavingSource | None = None
     listed_leaving: bool = False
     failures: int = 0
 
@@ -54,9 +54,9 @@
         """
         return self.left_at is None and self.failures == 1
 
-    def leave(self, sign: Sign, now: float) -> "Health":
+    def leave(self, sign: LeavingSource, now: float) -> "Health":
         """Returns the health after a sign of leaving."""
-        listed = self.listed_leaving or sign is Sign.LIST
+        listed = self.listed_leaving or sign is LeavingSource.LIST
         return dataclasses.replace(
             self, left_at=now, sign=sign, listed_leaving=listed
         )
--- a/src/wayslip/decisions/lease.py
+++ b/src/wayslip/decisions/lease.py
@@ -20,16 +20,16 @@
 
 # Seconds for which a written lease entitles its holder to plan; about two
 # renewals of which one may be lost.
-HOLD = 1.2
+HOLD_SECONDS = 1.2
 # Seconds between renewals.
-RENEWAL = 0.5
+RENEWAL_SECONDS = 0.5
 # Seconds for which a lease must be known unchanged before another takes it;
 # HOLD and the time of one slow call of the store.
-EXPIRY = 1.7
+EXPIRY_SECONDS = 1.7
 # Seconds after the start of a claim's write in which its order must leave.
-SEND_LIMIT = 0.5
+SEND_LIMIT_SECONDS = 0.5
 # Seconds that an order may take on its way.
-TRAVEL = 0.3
+TRAVEL_SECONDS = 0.3
 # Terms of one era of the store.
 _TERMS = 1_000_000
 
@@ -75,7 +75,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SeenClaim:
+class ObservedClaim:
     """A claim as one instance knows it.
 
     Attributes:
@@ -89,7 +89,7 @@
 
 
 def next_claim(
-    seen: SeenClaim | None, holder: str, pending: Pending, least_token: int
+    seen: ObservedClaim | None, holder: str, pending: Pending, least_token: int
 ) -> Claim:
     """Returns the claim to write before an order.
 
@@ -112,9 +112,9 @@
     return Claim(pending.endpoint, holder, token, pending)
 
 
-def see_claim(
-    known: SeenClaim | None, claim: Claim, revision: int, now: float
-) -> SeenClaim:
+def observe_claim(
+    known: ObservedClaim | None, claim: Claim, revision: int, now: float
+) -> ObservedClaim:
     """Returns what is known of a claim after it was read.
 
     Args:
@@ -124,20 +124,20 @@
         now: Steady seconds.
     """
     if known is None:
-        return SeenClaim(claim, revision, now)
+        return ObservedClaim(claim, revision, now)
     if known.revision == revision:
-        return SeenClaim(claim, revision, known.since)
+        return ObservedClaim(claim, revision, known.since)
     is_of_a_copy = position.find_era(revision) > position.find_era(
         known.revision
     )
     if is_of_a_copy and claim.token <= known.claim.token:
         # The store has lost what is known.
-        return SeenClaim(known.claim, revision, known.since)
-    return SeenClaim(claim, revision, now)
+        return ObservedClaim(known.claim, revision, known.since)
+    return ObservedClaim(claim, revision, now)
 
 
 def may_claim(
-    seen: SeenClaim | None, holder: str, distance: float, now: float
+    seen: ObservedClaim | None, holder: str, distance: float, now: float
 ) -> bool:
     """Whether an instance may write itself into a claim.
 
@@ -149,7 +149,7 @@
     """
     if seen is None or seen.claim.holder == holder:
         return True
-    return now - seen.since >= SEND_LIMIT + distance + TRAVEL
+    return now - seen.since >= SEND_LIMIT_SECONDS + distance + TRAVEL_SECONDS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -191,7 +191,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sight:
+class ObservedLease:
     """A lease as an instance sees it.
 
     Attributes:
@@ -203,14 +203,16 @@
     since: float
 
 
-def see(sight: Sight | None, lease: Lease, revision: int, now: float) -> Sight:
+def observe_lease(
+    sight: ObservedLease | None, lease: Lease, revision: int, now: float
+) -> ObservedLease:
     """Returns the sight after a lease was read."""
     if sight is not None and sight.revision == revision:
         return dataclasses.replace(sight, lease=lease)
-    return Sight(lease, revision, now)
+    return ObservedLease(lease, revision, now)
 
 
-def find_rest(sight: Sight, name: str, now: float) -> float:
+def seconds_until_free(sight: ObservedLease, name: str, now: float) -> float:
     """Returns the seconds until an instance may take the lease.
 
     An instance whose process started again may take its own lease at once:
@@ -218,9 +220,9 @@
     """
     if sight.lease.holder == name or sight.lease.is_released:
         return 0.0
-    return max(EXPIRY - (now - sight.since), 0.0)
+    return max(EXPIRY_SECONDS - (now - sight.since), 0.0)
 
 
-def may_take(sight: Sight, name: str, now: float) -> bool:
+def may_take(sight: ObservedLease, name: str, now: float) -> bool:
     """Whether an instance may write itself into the lease."""
-    return find_rest(sight, name, now) <= 0.0
+    return seconds_until_free(sight, name, now) <= 0.0
--- a/src/wayslip/decisions/loading.py
+++ b/src/wayslip/decisions/loading.py
@@ -14,7 +14,7 @@
 # What a load has to gain at least, requests. Its price is a third of one; the
 # rest is against loads for a single request, which in trials cost the busier
 # models more than they served (docs/design/platform.md).
-LEAST_GAIN = 1.3
+MIN_GAIN = 1.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 ) -> Step | None:
     """Returns the load that gains most, None if none pays."""
     world = copies.World(engines, pool, demand)
-    wants = {m: world.find_want(m) for m in demand if m in pool.models}
+    wants = {m: world.find_copy_value(m) for m in demand if m in pool.models}
     # What each gains if it could serve at once on an idle engine.
     bounds = sorted(
         ((want.gain(0.0, copies.BUSY_SHARE), m) for m, want in wants.items()),
@@ -51,13 +51,13 @@
     best: Step | None = None
     for bound, name in bounds:
         # No later model can gain more than this one could at most.
-        if bound <= max(best.gain if best else 0.0, LEAST_GAIN):
+        if bound <= max(best.gain if best else 0.0, MIN_GAIN):
             break
         model = pool.models[name]
         for engine in world.list_free(model.weights_mb):
             room = world.find_room(engine, model.weights_mb)
             # Nor can it on an engine where more is lost.
-            if bound - room.loss <= max(best.gain if best else 0.0, LEAST_GAIN):
+            if bound - room.loss <= max(best.gain if best else 0.0, MIN_GAIN):
                 break
             if name in engine.models:
                 continue
@@ -75,13 +75,13 @@
     engine: copies.Engine,
     model: manifest.Model,
     room: copies.Room,
-    want: copies.Want,
+    want: copies.CopyValue,
     spare: float,
 ) -> Step | None:
     seconds, is_cold = _time_load(engine, model)
     seconds += room.wait
     gain = want.gain(seconds, spare) - room.loss - room.busy_loss * seconds
-    if gain < LEAST_GAIN:
+    if gain < MIN_GAIN:
         return None
     return Step(engine.name, model.name, room.victims, is_cold, seconds, gain)
 
--- a/src/wayslip/decisions/places.py
+++ b/src/wayslip/decisions/permits.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Account:
+class PermitBucket:
     """The places of one endpoint.
 
     Attributes:
@@ -60,7 +60,9 @@
     burst: float = BURST
 
     @classmethod
-    def begin(cls, rate: float, now: float, burst: float = BURST) -> "Account":
+    def begin(
+        cls, rate: float, now: float, burst: float = BURST
+    ) -> "PermitBucket":
         """Returns the account of an endpoint of which nothing is known.
 
         What went there before the limit was named, or by a holder before,
@@ -68,20 +70,22 @@
         """
         return cls(max(rate, LEAST_RATE), quota.Level(0.0, now), burst)
 
-    def change_rate(self, rate: float, now: float) -> "Account":
+    def change_rate(self, rate: float, now: float) -> "PermitBucket":
         """Returns the account under another limit from now on."""
         settled = self._settle(now)
         return dataclasses.replace(settled, rate=max(rate, LEAST_RATE))
 
-    def _settle(self, now: float) -> "Account":
+    def _settle(self, now: float) -> "PermitBucket":
         level = self.level.settle(self.rate, self.burst, now)
         return dataclasses.replace(self, level=level)
 
-    def take(self, patience: float, now: float) -> tuple["Account", Verdict]:
+    def take(
+        self, max_wait: float, now: float
+    ) -> tuple["PermitBucket", Verdict]:
         """Takes a place, or one that will be free soon.
 
         Args:
-            patience: Seconds that the asker can wait for it.
+            max_wait: Seconds that the asker can wait for it.
             now: Steady seconds.
 
         Returns:
@@ -90,7 +94,7 @@
         settled = self._settle(now)
         wait = max(1.0 - settled.level.units, 0.0) / self.rate
         longest = max(PROMISE_SECONDS, 1.0 / self.rate)
-        if wait > min(patience, longest):
+        if wait > min(max_wait, longest):
             return settled, Verdict(False, wait)
         level = settled.level.spend(1.0)
         return dataclasses.replace(settled, level=level), Verdict(True, wait)
--- a/src/wayslip/decisions/quota.py
+++ b/src/wayslip/decisions/quota.py
@@ -37,7 +37,7 @@
 _STEER_SECONDS = 1.0
 # Demand fades in this time, seconds: long enough that clients who ask once or
 # twice a second make an even demand.
-FADING = 1.0
+FADING_SECONDS = 1.0
 # Once it is low, an instance saves up what it earns in so long, seconds. What
 # more comes to instances that are seldom asked raises the level for all.
 _SAVED_SECONDS = 1.0
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
+class QuotaLevel:
     """What the holder tells of one organisation.
 
     Attributes:
@@ -130,7 +130,7 @@
 
     rate: float
     burst: float
-    word: Word | None = None
+    word: QuotaLevel | None = None
     heard_at: float = 0.0
     credit: float = 0.0
     at: float = 0.0
@@ -165,7 +165,7 @@
         demand = max(self.word.demand if self.word else 0.0, self.own)
         return self.own / demand if demand else 0.0
 
-    def hear(self, word: Word, now: float) -> "Share":
+    def hear(self, word: QuotaLevel, now: float) -> "Share":
         """Returns the share after the holder told a level."""
         before = self.settle(now)
         found = dataclasses.replace(before, word=word, heard_at=now)
--- a/src/wayslip/decisions/selection.py
+++ b/src/wayslip/decisions/selection.py
@@ -8,7 +8,7 @@
 from collections.abc import Sequence
 import dataclasses
 
-from wayslip.decisions import spreading
+from wayslip.decisions import load_spreading
 
 # What every request that runs already adds to the first token of a new one:
 # its share of the decoding steps that a prompt's pieces are read between.
@@ -100,8 +100,8 @@
     rested = [c for c in candidates if not c.is_suspended] or candidates
     if not rested:
         return None
-    shares = spreading.share_out([_rate(c) for c in rested], unseen)
-    best = rested[spreading.draw(shares, draw)]
+    shares = load_spreading.share_out([_rate(c) for c in rested], unseen)
+    best = rested[load_spreading.draw(shares, draw)]
     return Choice(
         best.name, predict_wait(best), best.in_flight / max(best.slots, 1)
     )
--- a/src/wayslip/decisions/suspicion.py
+++ b/src/wayslip/decisions/suspicion.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Mark:
+class CrashRecord:
     """A content that was on its way to an endpoint that ended.
 
     Attributes:
@@ -47,7 +47,7 @@
         endpoint, born: The start that ended; see `fleet.Start`.
         depth: How deep the content was in suspicion, as far as its sender
             knew when it sent it.
-        witness: The instance that sent it.
+        reporter: The instance that sent it.
         attempts: Of that instance that broke off with this end; 0 where it
             has seen the content answered.
     """
@@ -56,7 +56,7 @@
     endpoint: str
     born: int = 0
     depth: int = 0
-    witness: str = ""
+    reporter: str = ""
     attempts: int = 1
 
     @property
@@ -71,45 +71,45 @@
 
     Attributes:
         since: When its first mark came.
-        marks: By the start that ended, and the witness.
+        crash_records: By the start that ended, and the witness.
     """
 
     since: float
-    marks: dict[fleet.Start, dict[str, Mark]] = dataclasses.field(
-        default_factory=dict
+    crash_records: dict[fleet.Start, dict[str, CrashRecord]] = (
+        dataclasses.field(default_factory=dict)
     )
 
     @property
     def depth(self) -> int:
         """How often it was tried again after an end, and the first time."""
-        deepest = max((m.depth for m in self.list_marks()), default=-1)
+        deepest = max((m.depth for m in self.list_crash_records()), default=-1)
         # A mark may go on from one that was cleared since.
-        return min(1 + deepest, len(self.marks))
+        return min(1 + deepest, len(self.crash_records))
 
     @property
     def attempts(self) -> int:
         """How many attempts broke off with endpoints."""
-        return sum(m.attempts for m in self.list_marks())
+        return sum(m.attempts for m in self.list_crash_records())
 
-    def list_marks(self) -> list[Mark]:
+    def list_crash_records(self) -> list[CrashRecord]:
         """Returns its marks, those of one start together."""
         return [
             mark
-            for _, told in sorted(self.marks.items())
+            for _, told in sorted(self.crash_records.items())
             for _, mark in sorted(told.items())
         ]
 
-    def add(self, mark: Mark) -> bool:
+    def add(self, mark: CrashRecord) -> bool:
         """Takes a mark in; returns whether it was news."""
-        told = self.marks.setdefault(mark.start, {})
-        known = told.get(mark.witness)
+        told = self.crash_records.setdefault(mark.start, {})
+        known = told.get(mark.reporter)
         if known is not None:
             mark = dataclasses.replace(
                 mark,
                 depth=max(mark.depth, known.depth),
                 attempts=max(mark.attempts, known.attempts),
             )
-        told[mark.witness] = mark
+        told[mark.reporter] = mark
         return mark != known
 
 
@@ -135,7 +135,7 @@
         suspect = self._suspects.get(content)
         return suspect.depth if suspect else 0
 
-    def is_condemned(self, content: bytes) -> bool:
+    def is_blocked(self, content: bytes) -> bool:
         """Whether a content should reach no endpoint."""
         suspect = self._suspects.get(content)
         if suspect is None:
@@ -152,7 +152,7 @@
         """Whether no other content that came again shares an end with it."""
         rivals = {
             other
-            for start in self._suspects[content].marks
+            for start in self._suspects[content].crash_records
             for other in self._at_start[start]
             if self.find_depth(other) >= _ALONE_DEPTH
         }
@@ -170,14 +170,14 @@
         pause = _TRIAL_SECONDS * _TRIAL_FACTOR ** (suspect.depth - 1)
         return now - suspect.since >= pause
 
-    def list_condemned(self) -> list[bytes]:
+    def list_blocked(self) -> list[bytes]:
         """Returns the contents that should reach no endpoint."""
-        return [c for c in self._suspects if self.is_condemned(c)]
+        return [c for c in self._suspects if self.is_blocked(c)]
 
-    def list_marks(self, content: bytes) -> list[Mark]:
+    def list_crash_records(self, content: bytes) -> list[CrashRecord]:
         """Returns the marks of a content."""
         suspect = self._suspects.get(content)
-        return suspect.list_marks() if suspect else []
+        return suspect.list_crash_records() if suspect else []
 
     def list_contents(self, least_depth: int) -> list[bytes]:
         """Returns the contents that are at least so deep in suspicion."""
@@ -191,12 +191,12 @@
         return [
             c
             for c, s in self._suspects.items()
-            if s.since >= since or s.depth > 1 or self.is_condemned(c)
+            if s.since >= since or s.depth > 1 or self.is_blocked(c)
         ]
 
-    def list_cleared(self) -> list[Mark]:
+    def list_cleared(self) -> list[CrashRecord]:
         """Returns the marks that no longer count."""
-        return [Mark(c, s.endpoint, s.born) for c, s in self._cleared]
+        return [CrashRecord(c, s.endpoint, s.born) for c, s in self._cleared]
 
     def find_left(self, content: bytes, now: float) -> float:
         """Returns the seconds until what is known of a content is forgotten."""
@@ -207,10 +207,12 @@
 
     # What comes to be known
 
-    def add(self, marks: Iterable[Mark], now: float) -> list[Mark]:
+    def add(
+        self, crash_records: Iterable[CrashRecord], now: float
+    ) -> list[CrashRecord]:
         """Takes marks in; returns those that are news."""
         news = []
-        for mark in marks:
+        for mark in crash_records:
             if (mark.content, mark.start) in self._cleared:
                 continue
             suspect = self._suspects.setdefault(mark.content, _Suspect(now))
@@ -220,10 +222,12 @@
         self._keep_bounds()
         return news
 
-    def clear(self, marks: Iterable[Mark], now: float) -> list[Mark]:
+    def clear(
+        self, crash_records: Iterable[CrashRecord], now: float
+    ) -> list[CrashRecord]:
         """Has marks count no longer; returns those for which that is news."""
         news = []
-        for mark in marks:
+        for mark in crash_records:
             key = (mark.content, mark.start)
             if key in self._cleared:
                 continue
@@ -233,7 +237,7 @@
         self._keep_bounds()
         return news
 
-    def excuse(self, contents: Iterable[bytes], now: float) -> list[bytes]:
+    def exempt(self, contents: Iterable[bytes], now: float) -> list[bytes]:
         """Notes contents that endpoints answered before.
 
         Only what they are deep in suspicion for counts against them.
@@ -254,22 +258,22 @@
         limit = now - KEPT_SECONDS
         old = [c for c, s in self._suspects.items() if s.since <= limit]
         for content in old:
-            self.clear(self.list_marks(content), now)
+            self.clear(self.list_crash_records(content), now)
         self._cleared = {k: t for k, t in self._cleared.items() if t > limit}
         self._common = {c: t for c, t in self._common.items() if t > limit}
         return bool(old)
 
     def _drop(self, content: bytes, start: fleet.Start) -> None:
         suspect = self._suspects.get(content)
-        if suspect is None or start not in suspect.marks:
+        if suspect is None or start not in suspect.crash_records:
             return
-        del suspect.marks[start]
+        del suspect.crash_records[start]
         self._leave(content, start)
-        if not suspect.marks:
+        if not suspect.crash_records:
             del self._suspects[content]
 
     def _drop_all(self, content: bytes) -> None:
-        for start in self._suspects.pop(content).marks:
+        for start in self._suspects.pop(content).crash_records:
             self._leave(content, start)
 
     def _leave(self, content: bytes, start: fleet.Start) -> None:
--- a/src/wayslip/decisions/waiting.py
+++ b/src/wayslip/decisions/wait_policies.py
@@ -38,17 +38,17 @@
     lacks_adapter_only: bool = False
 
 
-class Patience(Protocol):
+class WaitPolicy(Protocol):
     """Decides how long a request waits."""
 
     def __call__(self, situation: Situation) -> float:
         """Returns the seconds to wait from now on, 0 or less for none."""
 
 
-PATIENCES: registry.Registry[Patience] = registry.Registry("patience")
+WAIT_POLICIES: registry.Registry[WaitPolicy] = registry.Registry("patience")
 
 
-@PATIENCES.register("target")
+@WAIT_POLICIES.register("target")
 def wait_for_target(situation: Situation) -> float:
     """Waits while the answer can still come within the target."""
     sure = SURE_SHARE * situation.target - situation.waited
--- a/src/wayslip/entry/view.py
+++ b/src/wayslip/entry/view.py
@@ -301,7 +301,7 @@
 
     def note_refusal(self, name: str) -> None:
         """Notes that an endpoint refused work because it leaves."""
-        self._leave(name, health_module.Sign.REFUSAL)
+        self._leave(name, health_module.LeavingSource.REFUSAL)
 
     # Signs
 
@@ -311,7 +311,7 @@
             if tracked is not None:
                 tracked.health = step(tracked.health)
 
-    def _leave(self, name: str, sign: health_module.Sign) -> None:
+    def _leave(self, name: str, sign: health_module.LeavingSource) -> None:
         now = clock.now()
         with self._lock:
             tracked = self._tracked.get(name)
@@ -324,7 +324,7 @@
         if was_leaving:
             return
         logs.event(_LOG, "endpoint_leaving", endpoint=name, sign=sign)
-        if sign is health_module.Sign.PEER:
+        if sign is health_module.LeavingSource.PEER:
             return
         origin = self._node.identity.name
         fact = facts.Fact(
@@ -336,7 +336,7 @@
         for fact in news:
             mine = fact.origin == self._node.identity.name
             if fact.topic is facts.Topic.LEAVING and not mine:
-                self._leave(fact.subject, health_module.Sign.PEER)
+                self._leave(fact.subject, health_module.LeavingSource.PEER)
 
     def _take_listed(self, name: str, value: kinds.Endpoint | None) -> None:
         if value is None:
@@ -347,7 +347,7 @@
             return
         self.adopt(value)
         if value.phase is kinds.Phase.LEAVING:
-            self._leave(name, health_module.Sign.LIST)
+            self._leave(name, health_module.LeavingSource.LIST)
         else:
             self._change(name, lambda h: h.list_live())
 
@@ -396,7 +396,7 @@
             serves = report.state is engine_module.EngineState.SERVING
             self._take_report(tracked, report, asked_at)
         if not serves:
-            self._leave(name, health_module.Sign.REPORT)
+            self._leave(name, health_module.LeavingSource.REPORT)
             return
         self._change(name, lambda h: h.prove(asked_at))
 
--- a/src/wayslip/gateway/telling.py
+++ b/src/wayslip/gateway/announcements.py
@@ -10,14 +10,14 @@
 from wayslip.decisions import detachment
 from wayslip.decisions import fleet
 from wayslip.decisions import rate
-from wayslip.gateway import accounts as accounts_module
-from wayslip.gateway import books as books_module
-from wayslip.gateway import detaching as detaching_module
+from wayslip.gateway import detached_operation as detached_operation_module
 from wayslip.gateway import facts
 from wayslip.gateway import hub as hub_module
 from wayslip.gateway import leadership as leadership_module
 from wayslip.gateway import members as members_module
-from wayslip.gateway import ordering as ordering_module
+from wayslip.gateway import order_sender as order_sender_module
+from wayslip.gateway import quota_accounts as quota_accounts_module
+from wayslip.gateway import tracked_engines as tracked_engines_module
 
 # Between states of load, seconds: load moves by a few requests in this time.
 STATE_SECONDS = 0.25
@@ -45,37 +45,37 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Sights:
-    """How far this instance follows the store; see `facts.Seen`."""
+class StoreProgress:
+    """How far this instance follows the store; see `facts.WatchProgress`."""
 
-    configuration: facts.Seen
-    endpoints: facts.Seen
+    configuration: facts.WatchProgress
+    endpoints: facts.WatchProgress
 
 
-class Teller:
+class Announcer:
     """Makes the planner's statements and sends them."""
 
     def __init__(
         self,
         address: str,
         leadership: leadership_module.Leadership,
-        ordering: ordering_module.Ordering,
+        order_sender: order_sender_module.OrderSender,
         members: members_module.Members,
-        detaching: detaching_module.Detaching,
+        detached_operation: detached_operation_module.DetachedOperation,
         hub: hub_module.Hub,
-        accounts: accounts_module.Accounts,
+        accounts: quota_accounts_module.QuotaAccounts,
     ) -> None:
         self._address = address
         self._accounts = accounts
         self._told_levels: tuple[facts.Level, ...] = ()
-        self._detaching = detaching
+        self._detached_operation = detached_operation
         self._leadership = leadership
-        self._ordering = ordering
+        self._order_sender = order_sender
         self._members = members
         self._hub = hub
         self._whole_told = 0.0
         self._handover_told = 0.0
-        self._told_words: set[facts.Word] = set()
+        self._told_words: set[facts.ItemUpdate] = set()
         self._told_arrivals: set[tuple[str, str]] = set()
         self._lists = rate.Bucket(
             LISTS_MOST, LISTS_MOST, LISTS_MOST, clock.now()
@@ -86,19 +86,21 @@
         )
 
     @property
-    def _books(self) -> Mapping[str, books_module.Book]:
-        return self._ordering.books
+    def _books(self) -> Mapping[str, tracked_engines_module.TrackedEngine]:
+        return self._order_sender.tracked_engines
 
     def _spread(self, message: facts.Message) -> None:
         self._hub.spread(message, self._members.peers())
 
     # All the time
 
-    async def run(self, find_sights: Callable[[], Sights]) -> None:
+    async def run(
+        self, find_store_progress: Callable[[], StoreProgress]
+    ) -> None:
         """Tells the state until it is cancelled, while we hold the lease."""
         while True:
             if self._leadership.is_held:
-                self.tell_state(find_sights())
+                self.announce_state(find_store_progress())
             await self._wait_to_tell()
 
     async def _wait_to_tell(self) -> None:
@@ -117,12 +119,15 @@
 
     def _find_standing(self) -> tuple[bool, bool]:
         """Returns whether we can not renew, and whether we go on anyway."""
-        return self._leadership.is_doubtful, self._detaching.is_proposed
+        return (
+            self._leadership.is_renewal_overdue,
+            self._detached_operation.is_proposed,
+        )
 
-    def tell_state(self, sights: Sights) -> None:
+    def announce_state(self, store_progress: StoreProgress) -> None:
         """Tells the load, and how far the store is followed."""
         peers = self._members.peers()
-        is_detached = self._detaching.is_proposed
+        is_detached = self._detached_operation.is_proposed
         self._told_levels = self._accounts.list_words()
         state = facts.State(
             term=self._leadership.seen_term,
@@ -130,14 +135,16 @@
             address=self._address,
             is_holder=self._leadership.is_valid or is_detached,
             instances=len(peers),
-            configuration=sights.configuration,
-            endpoints=sights.endpoints,
+            configuration=store_progress.configuration,
+            endpoints=store_progress.endpoints,
             usages=tuple(self._members.total_usages().values()),
             stamp=detachment.make_stamp(clock.now()),
             is_detached=is_detached,
             levels=self._told_levels,
         )
-        self._hub.spread(state, [*peers, *self._detaching.list_missing()])
+        self._hub.spread(
+            state, [*peers, *self._detached_operation.list_missing()]
+        )
         now = clock.now()
         if now - self._whole_told >= _WHOLE_SECONDS:
             self._whole_told = now
@@ -151,7 +158,7 @@
         peers = tuple((p.address, p.data_hall) for p in self._members.peers())
         claims = [
             facts.ClaimRevision(name, seen.revision)
-            for name, seen in self._ordering.claims.known.items()
+            for name, seen in self._order_sender.claims.known.items()
         ]
         rates = self._members.list_rates()
         readings = self._members.list_readings()
@@ -164,7 +171,7 @@
 
     # News
 
-    def tell_all(self) -> None:
+    def announce_changes(self) -> None:
         """Tells soon what changed of what is loaded."""
         if self._flush is not None or not self._leadership.is_held:
             # Series that end because the lease was lost come here too; their
@@ -192,11 +199,11 @@
         self._remember(words, arrivals)
         if fresh or coming:
             term = self._leadership.seen_term
-            self._spread(facts.News(term, False, fresh, coming))
+            self._spread(facts.PlacementUpdate(term, False, fresh, coming))
 
-    def tell_some(
+    def announce_to(
         self,
-        book: books_module.Book,
+        tracked_engine: tracked_engines_module.TrackedEngine,
         item: fleet.Item,
         addresses: list[hub_module.Address],
     ) -> None:
@@ -204,9 +211,13 @@
         if not self._leadership.is_held:
             return
         now = clock.now()
-        seconds = max(book.added.get(item, now) - now, 0.0)
-        word = facts.Word(book.endpoint.name, *item, True, round(seconds, 3))
-        news = facts.News(self._leadership.seen_term, False, (word,), ())
+        seconds = max(tracked_engine.added.get(item, now) - now, 0.0)
+        word = facts.ItemUpdate(
+            tracked_engine.endpoint.name, *item, True, round(seconds, 3)
+        )
+        news = facts.PlacementUpdate(
+            self._leadership.seen_term, False, (word,), ()
+        )
         for address in addresses:
             self._hub.send(news, address)
 
@@ -216,41 +227,45 @@
         arrivals = self._list_arrivals(now)
         self._remember(words, arrivals)
         term = self._leadership.seen_term
-        self._spread(facts.News(term, True, tuple(words), tuple(arrivals)))
+        self._spread(
+            facts.PlacementUpdate(term, True, tuple(words), tuple(arrivals))
+        )
 
     def _remember(
-        self, words: list[facts.Word], arrivals: list[facts.Arrival]
+        self, words: list[facts.ItemUpdate], arrivals: list[facts.Arrival]
     ) -> None:
         self._told_words = {_identify(w) for w in words}
         self._told_arrivals = {(a.endpoint, a.model) for a in arrivals}
 
-    def _list_words(self, now: float) -> list[facts.Word]:
+    def _list_words(self, now: float) -> list[facts.ItemUpdate]:
         words = []
-        for name, book in self._books.items():
-            for model, adapter in sorted(book.withdrawn):
-                words.append(facts.Word(name, model, adapter, False, 0.0))
-            listed = book.listed()
-            for item in sorted(book.usable() - listed):
-                seconds = max(book.added.get(item, now) - now, 0.0)
-                words.append(facts.Word(name, *item, True, round(seconds, 3)))
+        for name, tracked_engine in self._books.items():
+            for model, adapter in sorted(tracked_engine.withdrawn):
+                words.append(facts.ItemUpdate(name, model, adapter, False, 0.0))
+            listed = tracked_engine.listed()
+            for item in sorted(tracked_engine.usable() - listed):
+                seconds = max(tracked_engine.added.get(item, now) - now, 0.0)
+                words.append(
+                    facts.ItemUpdate(name, *item, True, round(seconds, 3))
+                )
         return words
 
     def _list_arrivals(self, now: float) -> list[facts.Arrival]:
         return [
             facts.Arrival(
-                book.endpoint.name,
-                book.endpoint.service,
+                tracked_engine.endpoint.name,
+                tracked_engine.endpoint.service,
                 model,
                 round(max(at - now, 0.0), 2),
-                (model, "") in book.charged(),
+                (model, "") in tracked_engine.charged(),
             )
-            for book in self._books.values()
-            for model, at in book.ready_at.items()
+            for tracked_engine in self._books.values()
+            for model, at in tracked_engine.ready_at.items()
         ]
 
     # The list of endpoints
 
-    def tell_changes(self, changes: facts.Changes) -> None:
+    def announce_list_changes(self, changes: facts.Changes) -> None:
         """Tells what changed in the platform's list."""
         if self._leadership.is_held:
             term = self._leadership.seen_term
@@ -281,6 +296,6 @@
             self._hub.send(dataclasses.replace(part, term=term), source)
 
 
-def _identify(word: facts.Word) -> facts.Word:
+def _identify(word: facts.ItemUpdate) -> facts.ItemUpdate:
     """Returns a word without the seconds that are left."""
     return dataclasses.replace(word, seconds=0.0)
--- a/src/wayslip/gateway/attempts.py
+++ b/src/wayslip/gateway/attempts.py
@@ -13,7 +13,7 @@
 from wayslip.decisions import selection
 from wayslip.gateway import dialect as dialect_module
 from wayslip.gateway import jobs
-from wayslip.gateway import places as places_module
+from wayslip.gateway import permit_broker as permit_broker_module
 from wayslip.gateway import quarantine as quarantine_module
 from wayslip.gateway import view as view_module
 from wayslip.http1 import client
@@ -39,8 +39,8 @@
         endings: jobs.Endings,
         metrics: metrics_module.Metrics,
         quarantine: quarantine_module.Quarantine,
-        tell_leaving: Callable[[fleet.Endpoint], None],
-        places: places_module.Places,
+        report_leaving: Callable[[fleet.Endpoint], None],
+        permit_broker: permit_broker_module.PermitBroker,
     ) -> None:
         """Initializes without any connection.
 
@@ -50,11 +50,11 @@
             endings: End requests.
             metrics: Where outcomes are counted.
             quarantine: Knows requests that end endpoints.
-            tell_leaving: Is given an endpoint that says it takes no new work.
-            places: Is told the limits that answers name.
+            report_leaving: Is given an endpoint that says it takes no new work.
+            permit_broker: Is told the limits that answers name.
         """
-        self._places = places
-        self._tell_leaving = tell_leaving
+        self._permit_broker = permit_broker
+        self._report_leaving = report_leaving
         self._quarantine = quarantine
         self._dialect = dialect
         self._view = view
@@ -92,7 +92,7 @@
                 reason=e.reason,
             )
             job.breaks += 1
-            self._quarantine.note_break(
+            self._quarantine.note_broken_attempt(
                 tracked.endpoint, job.content, depth, self.pool.open
             )
             return retry.Failure.UNCLEAR
@@ -135,10 +135,10 @@
         self._view.hear(use)
         answer = self._dialect.read_answer(head)
         if answer.is_leaving:
-            self._tell_leaving(use.tracked.endpoint)
+            self._report_leaving(use.tracked.endpoint)
         if answer.limit is not None or answer.is_genuine:
             # What is not the endpoint's own tells of no end.
-            self._places.note_answer(
+            self._permit_broker.note_answer(
                 use.tracked.endpoint, answer.limit, sent_at
             )
         if answer.is_refusal:
@@ -174,7 +174,7 @@
     ) -> None:
         traits = job.traits
         if answer.rest is not None:
-            self._view.note_rest(use, answer.rest)
+            self._view.note_backoff(use, answer.rest)
         if answer.is_misdirected and traits.model:
             self._view.tell(
                 use.tracked.endpoint.name, traits.model, traits.adapter, False
--- a/src/wayslip/gateway/chores.py
+++ b/src/wayslip/gateway/background.py
@@ -9,7 +9,7 @@
 _LOG = logging.getLogger(__name__)
 
 
-class Chores:
+class BackgroundTasks:
     """Tasks that nobody waits for. Used on the event loop only."""
 
     def __init__(
--- a/src/wayslip/gateway/resting.py
+++ b/src/wayslip/gateway/backoff.py
@@ -9,7 +9,7 @@
 import random
 
 from wayslip import clock
-from wayslip.decisions import places
+from wayslip.decisions import permits
 from wayslip.gateway import jobs
 from wayslip.gateway import view as view_module
 
@@ -27,7 +27,7 @@
 _MODELS_MOST = 1000
 
 
-class Resting:
+class EndpointBackoff:
     """How long requests have to wait for endpoints that want none now."""
 
     def __init__(
@@ -47,7 +47,7 @@
         return bool(self._find(job, job.tried))
 
     def _find(self, job: jobs.Job, besides: frozenset[str]) -> float | None:
-        return self._view.find_rest(job.service.name, job.traits, besides)
+        return self._view.find_backoff(job.service.name, job.traits, besides)
 
     async def wait(self, job: jobs.Job) -> bool:
         """Waits for the first one to have rested, if that is soon.
@@ -56,12 +56,12 @@
             Whether one may have, and should be looked for.
         """
         rest = self._find(job, job.tried)
-        if rest is None or rest > self.find_patience(job):
+        if rest is None or rest > self.find_max_wait(job):
             return False
         await asyncio.sleep(rest)
         return True
 
-    def find_patience(self, job: jobs.Job) -> float:
+    def find_max_wait(self, job: jobs.Job) -> float:
         """Returns the seconds that a request can still wait to be sent."""
         now = clock.now()
         in_time = job.route.target * _TARGET_SHARE - (now - job.began)
@@ -89,7 +89,7 @@
         """
         key = (job.service.name, job.traits.model)
         first = clock.now() + rest
-        space = self._count_instances() / max(limit, places.LEAST_RATE)
+        space = self._count_instances() / max(limit, permits.LEAST_RATE)
         at = max(first, self._returns.pop(key, 0.0) + space)
         if at > first + _RETURN_MOST:
             at = first + random.uniform(0, _RETURN_MOST)
--- a/src/wayslip/gateway/condemned.py
+++ b/src/wayslip/gateway/blocked_contents.py
@@ -21,14 +21,14 @@
 _LEARN_SECONDS = 1.0
 
 
-class Condemned:
+class BlockedContents:
     """The objects in the store, and whether they are in line with us."""
 
     def __init__(
         self,
         store: store_module.Store,
         find_pause: Callable[[float], float],
-        learn: Callable[[Iterable[suspicion.Mark]], None],
+        learn: Callable[[Iterable[suspicion.CrashRecord]], None],
     ) -> None:
         """Initializes without any object read.
 
@@ -67,7 +67,7 @@
                 )
             await asyncio.sleep(self._find_pause(_LEARN_SECONDS))
         for item in listing.items:
-            self._learn(item.value.marks)
+            self._learn(item.value.crash_records)
 
     async def read(self) -> bool:
         """Reads them unless that was done in this term; returns whether."""
@@ -76,19 +76,19 @@
         listing = await self._store.list(records.SUSPECT)
         self._revisions = {i.value.content: i.revision for i in listing.items}
         for item in listing.items:
-            self._learn(item.value.marks)
+            self._learn(item.value.crash_records)
         return True
 
     async def keep(
         self,
         condemned: frozenset[bytes],
-        list_marks: Callable[[bytes], list[suspicion.Mark]],
+        list_crash_records: Callable[[bytes], list[suspicion.CrashRecord]],
     ) -> None:
         """Brings the objects into line; they were read before.
 
         Args:
             condemned: The contents that should be there.
-            list_marks: Returns the marks of one.
+            list_crash_records: Returns the marks of one.
 
         Raises:
             ObjectUnavailableError: The store did not answer.
@@ -97,7 +97,9 @@
         known = self._revisions
         try:
             for content in condemned - known.keys():
-                record = records.Suspect(content, tuple(list_marks(content)))
+                record = records.Suspect(
+                    content, tuple(list_crash_records(content))
+                )
                 stored = await self._store.create(
                     records.SUSPECT, content.hex(), record
                 )
--- a/src/wayslip/gateway/claims.py
+++ b/src/wayslip/gateway/claims.py
@@ -33,7 +33,7 @@
     ) -> None:
         self._options = options
         self._store = store
-        self.known: dict[str, lease.SeenClaim] = {}
+        self.known: dict[str, lease.ObservedClaim] = {}
         self.least_token = 0
         self.is_detached: Callable[[], bool] = lambda: False
         self.holds_lease: Callable[[], bool] = lambda: False
@@ -52,13 +52,15 @@
             return
         # Whose it is, is read when we come to take it over.
         unknown = lease.Claim(endpoint, "", 0)
-        self.known[endpoint] = lease.SeenClaim(unknown, revision, clock.now())
+        self.known[endpoint] = lease.ObservedClaim(
+            unknown, revision, clock.now()
+        )
 
-    def keep_away(self) -> None:
+    def start_hold_off(self) -> None:
         """Notes that a holder orders engines without writing claims."""
         self._kept_away_until = self._find_end_of_detached_orders()
 
-    def follow_nobody(self) -> None:
+    def note_no_predecessor(self) -> None:
         """Notes that no other instance held the lease before this one."""
         if self._store.era <= _FIRST_ERA:
             # A later one may lack the lease of another instance.
@@ -73,13 +75,13 @@
         """
         if self.holds_lease() or self.is_detached():
             return
-        distance = self._options.bounds.lease + lease.TRAVEL
-        self._returned_until = clock.now() + lease.SEND_LIMIT + distance
+        distance = self._options.bounds.lease + lease.TRAVEL_SECONDS
+        self._returned_until = clock.now() + lease.SEND_LIMIT_SECONDS + distance
 
     def _find_end_of_detached_orders(self) -> float:
         """Returns until when a holder heard now may be too near with orders."""
-        distance = self._options.bounds.lease + lease.TRAVEL
-        return clock.now() + detachment.HOLD_OFF + distance
+        distance = self._options.bounds.lease + lease.TRAVEL_SECONDS
+        return clock.now() + detachment.HOLD_OFF_SECONDS + distance
 
     async def read_all(self) -> None:
         """Reads all claims, as a new planner.
@@ -92,7 +94,7 @@
             self._note(stored)
 
     def _note(self, stored: store_module.Stored[lease.Claim]) -> None:
-        self.known[stored.name] = lease.see_claim(
+        self.known[stored.name] = lease.observe_claim(
             self.known.get(stored.name),
             stored.value,
             stored.revision,
@@ -151,7 +153,7 @@
             )
             await self._read(endpoint)
             return None
-        self.known[endpoint] = lease.SeenClaim(
+        self.known[endpoint] = lease.ObservedClaim(
             claim, stored.revision, clock.now()
         )
         return claim
--- a/src/wayslip/gateway/keeping.py
+++ b/src/wayslip/gateway/configuration_sync.py
@@ -12,24 +12,24 @@
 from wayslip.decisions import access
 from wayslip.decisions import manifest
 from wayslip.gateway import configuration
-from wayslip.gateway import confirming
-from wayslip.gateway import copying
-from wayslip.gateway import currency as currency_module
+from wayslip.gateway import confirmations
+from wayslip.gateway import copy_client
 from wayslip.gateway import distribution as distribution_module
 from wayslip.gateway import facts
 from wayslip.gateway import hub as hub_module
 from wayslip.gateway import leadership as leadership_module
 from wayslip.gateway import members as members_module
 from wayslip.gateway import options as options_module
+from wayslip.gateway import staleness as staleness_module
 from wayslip.gateway import store as store_module
-from wayslip.gateway import watching
+from wayslip.gateway import watcher
 
 # What a store that comes back from a copy has lost is written again within
 # this, seconds; entries of endpoints take as long.
 _REWRITE_SECONDS = 2.0
 
 
-class Keeper:
+class ConfigurationSync:
     """What an instance does to hold the newest configuration.
 
     Attributes:
@@ -45,7 +45,7 @@
         kind: store_module.Kind[manifest.Manifest],
         name: str,
         holder: configuration.Holder,
-        copies: copying.CopyClient,
+        copies: copy_client.CopyClient,
         hub: hub_module.Hub,
         leadership: leadership_module.Leadership,
         members: members_module.Members,
@@ -65,7 +65,7 @@
             hub: Sends to other instances.
             leadership: Of the lease.
             members: Know where the other instances are.
-            find_pause: See `watching.Watcher`.
+            find_pause: See `watcher.Watcher`.
             metrics: Where reads and copies are counted.
             on_own: Called once a newer one that we read is in force.
         """
@@ -85,10 +85,10 @@
             members.list_addresses,
             metrics,
         )
-        self.watcher = watching.Watcher(
+        self.watcher = watcher.Watcher(
             store,
             kind,
-            currency_module.Currency(
+            staleness_module.Staleness(
                 options.bounds.word, lambda: leadership.is_held, self._obtain
             ),
             self._take_list,
@@ -99,7 +99,7 @@
             lists_anew=True,
             on_read=self._note_read,
         )
-        self.confirmations = confirming.Confirmations(
+        self.confirmations = confirmations.Confirmations(
             options,
             holder,
             hub,
@@ -110,10 +110,12 @@
         )
 
     @property
-    def sight(self) -> access.Sight:
+    def sight(self) -> access.ConfigurationStatus:
         """What is known of the configuration in force."""
         is_newest = self.watcher.is_current and not self._may_lack
-        return access.Sight(self.confirmations.is_reliable, is_newest)
+        return access.ConfigurationStatus(
+            self.confirmations.is_reliable, is_newest
+        )
 
     @property
     def _may_lack(self) -> bool:
@@ -124,24 +126,24 @@
         self._rewritten_at = clock.now() + _REWRITE_SECONDS
 
     @property
-    def seen(self) -> facts.Seen:
+    def seen(self) -> facts.WatchProgress:
         """How far it is followed, as the lease's holder tells it."""
-        return facts.Seen(self._holder.version or 0, self.watcher.age)
+        return facts.WatchProgress(self._holder.version or 0, self.watcher.age)
 
-    def take_told(self, told: facts.Seen) -> None:
+    def apply_update(self, told: facts.WatchProgress) -> None:
         """Takes in how far the lease's holder follows it."""
         self._take_word(told.revision, told.age)
 
     def _take_word(self, version: int, age: float) -> None:
         """Takes in which version another instance has as the newest."""
         self.distribution.hear(version)
-        self.watcher.currency.hear(age, not self.distribution.is_behind)
+        self.watcher.staleness.hear(age, not self.distribution.is_behind)
 
     async def _obtain(self) -> None:
         """Asks other instances for the configuration that we lack."""
         await self.distribution.obtain()
         if not self.distribution.is_behind:
-            self.watcher.currency.note_complete()
+            self.watcher.staleness.note_complete()
 
     # From the store
 
--- a/src/wayslip/gateway/copying.py
+++ b/src/wayslip/gateway/copy_client.py
@@ -45,9 +45,9 @@
             f"host: {address[0]}:{address[1]}\r\nconnection: close\r\n\r\n"
         )
         try:
-            async with asyncio.timeout(_HEAD_SECONDS) as patience:
+            async with asyncio.timeout(_HEAD_SECONDS) as max_wait:
                 connection.send(request.encode("ascii"), lambda head: True)
-                head, body = await reader.read(connection, patience)
+                head, body = await reader.read(connection, max_wait)
         except TimeoutError as e:
             raise errors.EndpointUnclearError(
                 f"{address[0]}:{address[1]} gave up on a copy after"
--- a/src/wayslip/gateway/daemon.py
+++ b/src/wayslip/gateway/daemon.py
@@ -13,34 +13,34 @@
 from wayslip import metrics as metrics_module
 from wayslip.decisions import fleet
 from wayslip.decisions import manifest
-from wayslip.decisions import pacing
-from wayslip.gateway import accounts as accounts_module
-from wayslip.gateway import audience
+from wayslip.decisions import retry_pacing
+from wayslip.gateway import announcements
 from wayslip.gateway import configuration
-from wayslip.gateway import copying
-from wayslip.gateway import currency
-from wayslip.gateway import detaching as detaching_module
+from wayslip.gateway import configuration_sync
+from wayslip.gateway import copy_client
+from wayslip.gateway import detached_operation as detached_operation_module
 from wayslip.gateway import dialect as dialect_module
+from wayslip.gateway import endpoint_follower
 from wayslip.gateway import engines as engines_module
 from wayslip.gateway import facts
-from wayslip.gateway import following
 from wayslip.gateway import hub as hub_module
-from wayslip.gateway import keeping
 from wayslip.gateway import lag
 from wayslip.gateway import leadership as leadership_module
 from wayslip.gateway import limits as limits_module
 from wayslip.gateway import members as members_module
 from wayslip.gateway import options as options_module
-from wayslip.gateway import ordering as ordering_module
+from wayslip.gateway import order_sender as order_sender_module
 from wayslip.gateway import pages
+from wayslip.gateway import peer_broadcast
+from wayslip.gateway import permit_broker as permit_broker_module
 from wayslip.gateway import placement as placement_module
-from wayslip.gateway import places as places_module
 from wayslip.gateway import planner as planner_module
 from wayslip.gateway import quarantine as quarantine_module
+from wayslip.gateway import quota_accounts as quota_accounts_module
 from wayslip.gateway import records
 from wayslip.gateway import requests as requests_module
+from wayslip.gateway import staleness
 from wayslip.gateway import store as store_module
-from wayslip.gateway import telling
 from wayslip.gateway import view as view_module
 from wayslip.http1 import server
 
@@ -70,7 +70,7 @@
     configuration: store_module.Kind[manifest.Manifest]
     configuration_name: str
     endpoints: store_module.Kind[fleet.Endpoint]
-    copies: copying.CopyClient = copying.HttpCopyClient()
+    copies: copy_client.CopyClient = copy_client.HttpCopyClient()
 
 
 class Gateway:
@@ -92,28 +92,34 @@
             self._begin_term,
             self._end_term,
             self._find_pause,
-            lambda: self._placement.hasten(),
+            lambda: self._placement.report_soon(),
         )
-        self._ordering = ordering_module.Ordering(
+        self._order_sender = order_sender_module.OrderSender(
             options, platform.store, platform.engines, self.metrics
         )
         members = members_module.Members(self.view.reading)
-        self._audience = audience.Audience(self._hub, members, self.leadership)
-        detaching = detaching_module.Detaching(
+        self._peer_broadcast = peer_broadcast.PeerBroadcast(
+            self._hub, members, self.leadership
+        )
+        detached_operation = detached_operation_module.DetachedOperation(
             options.peers, self.leadership, members
         )
-        self._ordering.claims.is_detached = lambda: detaching.is_granted
-        self._ordering.find_version = lambda: self.holder.version
-        self._ordering.claims.holds_lease = lambda: self.leadership.is_valid
+        self._order_sender.claims.is_detached = lambda: (
+            detached_operation.is_granted
+        )
+        self._order_sender.find_version = lambda: self.holder.version
+        self._order_sender.claims.holds_lease = lambda: self.leadership.is_valid
         allowance = options.bounds.allowance
         limiter = limits_module.Limiter(self.holder, allowance)
-        accounts = accounts_module.Accounts(self.holder, limiter, allowance)
-        self._teller = telling.Teller(
+        accounts = quota_accounts_module.QuotaAccounts(
+            self.holder, limiter, allowance
+        )
+        self._announcer = announcements.Announcer(
             options.peers,
             self.leadership,
-            self._ordering,
+            self._order_sender,
             members,
-            detaching,
+            detached_operation,
             self._hub,
             accounts,
         )
@@ -121,9 +127,9 @@
             self.holder,
             self.view,
             self.leadership,
-            self._ordering,
+            self._order_sender,
             members,
-            self._teller,
+            self._announcer,
             accounts,
         )
         self._placement = placement_module.Placement(
@@ -132,27 +138,27 @@
             self._hub,
             self.leadership,
             members,
-            lambda: self._endpoints.is_blind,
+            lambda: self._endpoints.lacks_list,
             limiter,
         )
         self._quarantine = quarantine_module.Quarantine(
             platform.store,
             self.leadership,
-            self._audience,
+            self._peer_broadcast,
             self.metrics,
             options.name,
             self._find_pause,
         )
-        self._places = places_module.Places(
+        self._permit_broker = permit_broker_module.PermitBroker(
             options.name,
-            self.view.words,
+            self.view.notices,
             self._hub,
             self.leadership,
-            self._audience,
+            self._peer_broadcast,
             lambda: self._placement.hears_holder,
             lambda: self._placement.instances,
         )
-        self._ordering.may_call = self._places.may_call
+        self._order_sender.may_call = self._permit_broker.may_call
         self._requests = requests_module.Requests(
             options,
             platform.dialect,
@@ -160,13 +166,13 @@
             self.view,
             self._placement,
             self.metrics,
-            lambda: self._keeper.sight,
+            lambda: self._configuration_sync.sight,
             limiter,
             self._quarantine,
-            self._tell_leaving,
-            self._places,
+            self._report_leaving,
+            self._permit_broker,
         )
-        self._keeper = keeping.Keeper(
+        self._configuration_sync = configuration_sync.ConfigurationSync(
             options,
             platform.store,
             platform.configuration,
@@ -180,10 +186,10 @@
             self.metrics,
             self._tell_own_configuration,
         )
-        self._endpoints = following.EndpointFollower(
+        self._endpoints = endpoint_follower.EndpointFollower(
             platform.store,
             platform.endpoints,
-            currency.Currency(
+            staleness.Staleness(
                 options.bounds.word,
                 lambda: self.leadership.is_held,
                 self._obtain_changes,
@@ -191,7 +197,7 @@
             self.view,
             self._placement.notify,
             self._requests.drop_endpoint,
-            self._teller.tell_changes,
+            self._announcer.announce_list_changes,
             options.bounds.watch,
             self._find_pause,
             self.metrics,
@@ -212,7 +218,7 @@
             pages.Pages(
                 self.metrics,
                 self.dump,
-                self._keeper.distribution,
+                self._configuration_sync.distribution,
                 self._quarantine,
             ).answer,
             manifest.Limits,
@@ -222,11 +228,11 @@
 
     def _find_pause(self, usual: float) -> float:
         """Returns the pause before an attempt that all instances make."""
-        return pacing.find_pause(
-            usual, self._placement.instances, self._placement.is_spoken_to
+        return retry_pacing.find_pause(
+            usual, self._placement.instances, self._placement.has_recent_contact
         )
 
-    def _tell_leaving(self, endpoint: fleet.Endpoint) -> None:
+    def _report_leaving(self, endpoint: fleet.Endpoint) -> None:
         """Takes in and tells that an endpoint says it takes no new work.
 
         The list may say so seconds later, and not at all while the store is
@@ -234,13 +240,13 @@
         """
         if self.view.note_leaving(endpoint.start, self._options.name):
             told = facts.Leaving(endpoint.name, endpoint.born)
-            self._audience.spread(told)
+            self._peer_broadcast.spread(told)
             self._placement.notify()
 
     async def _obtain_changes(self) -> None:
         """Waits for changes of the list that are late, then asks for them."""
         await asyncio.sleep(_BEHIND_SECONDS)
-        if not self._endpoints.watcher.currency.is_behind:
+        if not self._endpoints.watcher.staleness.is_behind:
             return
         self._ask_for_changes()
         await asyncio.sleep(_ANSWER_SECONDS)
@@ -267,14 +273,14 @@
         await self._operators.start()
         await self._callers.start()
         for work in (
-            self._keeper.watcher.run(),
+            self._configuration_sync.watcher.run(),
             self._endpoints.watcher.run(),
             self.leadership.run(),
             self._placement.run(),
             self._placement.watch_holder(),
             self._planner.run(),
-            self._teller.run(self._find_sights),
-            self._keeper.confirmations.run(),
+            self._announcer.run(self._find_store_progress),
+            self._configuration_sync.confirmations.run(),
             self._quarantine.run(),
             lag.observe(self.metrics),
         ):
@@ -311,12 +317,12 @@
         began = clock.now()
         self._callers.is_draining = True
         logs.event(_LOG, "stopping", active=self._callers.active)
-        self._placement.say_leaving()
+        self._placement.announce_leaving()
         if self.leadership.is_held:
             await self.leadership.release()
             # Says that nobody plans now, so that another instance begins
             # before it would find that out.
-            self._teller.tell_state(self._find_sights())
+            self._announcer.announce_state(self._find_store_progress())
         limit = began + self._options.bounds.grace - _LAST_SECONDS
         while clock.now() < limit:
             if clock.now() - began >= _BALANCER_SECONDS:
@@ -346,25 +352,27 @@
         With the next state it would be heard of up to 0.25 s later.
         """
         if self.leadership.is_held:
-            self._teller.tell_state(self._find_sights())
+            self._announcer.announce_state(self._find_store_progress())
 
     def _begin_term(self) -> None:
-        self._keeper.watcher.currency.wake()
-        self._endpoints.watcher.currency.wake()
+        self._configuration_sync.watcher.staleness.wake()
+        self._endpoints.watcher.staleness.wake()
         self._planner.begin()
-        self._places.begin_term()
+        self._permit_broker.begin_term()
         self._quarantine.begin_term()
         # Everybody hears at once whom to report to, the holder before us too:
         # it may be cut off from the store.
-        self._teller.tell_state(self._find_sights())
+        self._announcer.announce_state(self._find_store_progress())
 
     def _end_term(self) -> None:
         self._planner.end()
 
-    def _find_sights(self) -> telling.Sights:
-        return telling.Sights(
-            self._keeper.seen,
-            facts.Seen(self._endpoints.changed_at, self._endpoints.watcher.age),
+    def _find_store_progress(self) -> announcements.StoreProgress:
+        return announcements.StoreProgress(
+            self._configuration_sync.seen,
+            facts.WatchProgress(
+                self._endpoints.changed_at, self._endpoints.watcher.age
+            ),
         )
 
     def _take_message(
@@ -372,41 +380,41 @@
     ) -> None:
         if isinstance(message, facts.State):
             self._placement.take(message)
-            self._take_sights(message)
-        elif isinstance(message, facts.News):
-            self._placement.take_news(message)
+            self._apply_store_progress(message)
+        elif isinstance(message, facts.PlacementUpdate):
+            self._placement.apply_placement_update(message)
         elif isinstance(message, facts.Changes):
             # An earlier holder's may be late, and lack what is there now.
             if message.term >= self.leadership.seen_term:
-                self._endpoints.take_told(message)
+                self._endpoints.apply_update(message)
         elif isinstance(message, facts.Missing):
-            self._teller.repeat_changes(message, source)
+            self._announcer.repeat_changes(message, source)
         elif isinstance(message, facts.Confirm):
-            self._keeper.confirmations.answer(message, source)
+            self._configuration_sync.confirmations.answer(message, source)
         elif isinstance(message, facts.Confirmed):
-            self._keeper.confirmations.take(message)
+            self._configuration_sync.confirmations.take(message)
         elif isinstance(message, facts.Leaving):
             start = fleet.Start(message.endpoint, message.born)
             if self.view.note_leaving(start, source[0]):
-                self._audience.pass_on(message)
+                self._peer_broadcast.pass_on(message)
         elif isinstance(message, facts.Limited):
-            self._places.take_told(message, source[0])
-        elif isinstance(message, facts.PlaceAsk):
-            self._places.answer(message, source)
-        elif isinstance(message, facts.PlaceAnswer):
-            self._places.take_answer(message)
+            self._permit_broker.apply_update(message, source[0])
+        elif isinstance(message, facts.PermitRequest):
+            self._permit_broker.answer(message, source)
+        elif isinstance(message, facts.PermitResponse):
+            self._permit_broker.take_answer(message)
         elif isinstance(message, facts.Suspects):
             self._quarantine.take(message)
-        elif isinstance(message, facts.Report) and message.is_blind:
-            self._teller.send_list(self._endpoints.list_all(), source)
+        elif isinstance(message, facts.Report) and message.lacks_list:
+            self._announcer.send_list(self._endpoints.list_all(), source)
         self._planner.take(message, source)
 
-    def _take_sights(self, state: facts.State) -> None:
+    def _apply_store_progress(self, state: facts.State) -> None:
         if state.term < self.leadership.seen_term:
             return
-        self._keeper.take_told(state.configuration)
+        self._configuration_sync.apply_update(state.configuration)
         told = state.endpoints
-        self._endpoints.watcher.currency.hear(
+        self._endpoints.watcher.staleness.hear(
             told.age, self._endpoints.has(told.revision)
         )
 
@@ -430,11 +438,14 @@
             "instance": self._options.name,
             "ready": self.is_ready(),
             "configuration": self.holder.version,
-            "configuration_told": self._keeper.distribution.told,
+            "configuration_told": self._configuration_sync.distribution.told,
             "lease": self.leadership.sight,
             "holds_lease": self.leadership.is_valid,
             "endpoints": self.view.dump(),
             "active": self._callers.active,
             "suspects": self._quarantine.dump(),
-            "engines": [b.describe() for b in self._ordering.books.values()],
+            "engines": [
+                b.describe()
+                for b in self._order_sender.tracked_engines.values()
+            ],
         }
--- a/src/wayslip/gateway/datagrams.py
+++ b/src/wayslip/gateway/datagrams.py
@@ -18,9 +18,9 @@
 DATAGRAM_LIMIT = 30_000
 _KINDS: dict[int, type] = {
     1: facts.Report,
-    2: facts.Want,
+    2: facts.ItemRequest,
     3: facts.State,
-    4: facts.News,
+    4: facts.PlacementUpdate,
     5: facts.Handover,
     6: facts.Changes,
     7: facts.Relay,
@@ -30,16 +30,19 @@
     11: facts.Suspects,
     12: facts.Leaving,
     13: facts.Limited,
-    14: facts.PlaceAsk,
-    15: facts.PlaceAnswer,
+    14: facts.PermitRequest,
+    15: facts.PermitResponse,
 }
 _NUMBERS = {kind: number for number, kind in _KINDS.items()}
 # Fields that hold one such value.
-_SINGLE = {"configuration": facts.Seen, "endpoints": facts.Seen}
+_SINGLE = {
+    "configuration": facts.WatchProgress,
+    "endpoints": facts.WatchProgress,
+}
 _PARTS = {
     "usages": facts.Usage,
     "demands": facts.Demand,
-    "words": facts.Word,
+    "updates": facts.ItemUpdate,
     "arrivals": facts.Arrival,
     "claims": facts.ClaimRevision,
     "rates": facts.Rate,
@@ -47,8 +50,8 @@
     "readings": facts.Reading,
     "spendings": facts.Spending,
     "levels": facts.Level,
-    "marks": suspicion.Mark,
-    "cleared": suspicion.Mark,
+    "crash_records": suspicion.CrashRecord,
+    "cleared": suspicion.CrashRecord,
 }
 
 
--- a/src/wayslip/gateway/detaching.py
+++ b/src/wayslip/gateway/detached_operation.py
@@ -12,7 +12,7 @@
 _LOG = logging.getLogger(__name__)
 
 
-class Detaching:
+class DetachedOperation:
     """Whether this instance may order engines while the store is away."""
 
     def __init__(
@@ -45,7 +45,7 @@
 
     def list_missing(self) -> list[fanout.Peer]:
         """Returns instances to look for, because they must agree."""
-        if not self._leadership.is_doubtful:
+        if not self._leadership.is_renewal_overdue:
             return []
         missing = self._members.list_missing()
         return [p for p in missing if p.address != self._own]
@@ -55,7 +55,7 @@
         before = self._state
         if self._leadership.is_valid:
             self._members.forget_missing()
-        if self._leadership.is_held and self._leadership.is_doubtful:
+        if self._leadership.is_held and self._leadership.is_renewal_overdue:
             term = self._leadership.seen_term
             self._state = before.judge(
                 self._members.list_words(term, self._own),
@@ -78,7 +78,7 @@
             "detachment_changed",
             granted=self._state.is_granted,
             held=self._leadership.is_held,
-            doubtful=self._leadership.is_doubtful,
+            doubtful=self._leadership.is_renewal_overdue,
             instances=len(words),
             oldest=f"{clock.now() - oldest:.2f}",
             cut_off=sum(w.cut_off for w in words),
--- a/src/wayslip/gateway/distribution.py
+++ b/src/wayslip/gateway/distribution.py
@@ -16,9 +16,9 @@
 from wayslip import errors
 from wayslip import logs
 from wayslip import metrics as metrics_module
-from wayslip.decisions import sourcing
+from wayslip.decisions import copy_sources
 from wayslip.gateway import configuration
-from wayslip.gateway import copying
+from wayslip.gateway import copy_client
 from wayslip.gateway import options as options_module
 from wayslip.gateway import snapshots
 from wayslip.http1 import server
@@ -42,7 +42,7 @@
         self,
         options: options_module.Options,
         holder: configuration.Holder,
-        client: copying.CopyClient,
+        client: copy_client.CopyClient,
         find_holder: Callable[[], str | None],
         list_peers: Callable[[], list[str]],
         metrics: metrics_module.Metrics,
@@ -107,7 +107,7 @@
         own = self._options.peers
         peers = [p for p in self._list_peers() if p != own]
         holder = self._find_holder()
-        found = sourcing.choose_source(
+        found = copy_sources.choose_source(
             None if holder == own else holder, peers, self._rng
         )
         if found is None or not self._options.metrics_port:
@@ -185,7 +185,7 @@
         if self._snapshot[0] != manifest.version:
             self._snapshot = (manifest.version, snapshots.encode(manifest))
         data = self._snapshot[1]
-        free_at = sourcing.plan_sending(
+        free_at = copy_sources.plan_sending(
             self._link_free_at,
             clock.now(),
             len(data),
--- a/src/wayslip/gateway/choosing.py
+++ b/src/wayslip/gateway/endpoint_chooser.py
@@ -10,12 +10,12 @@
 from wayslip import metrics as metrics_module
 from wayslip.decisions import retry
 from wayslip.decisions import selection
-from wayslip.decisions import waiting
+from wayslip.decisions import wait_policies
+from wayslip.gateway import backoff
 from wayslip.gateway import jobs
 from wayslip.gateway import options as options_module
+from wayslip.gateway import permit_broker as permit_broker_module
 from wayslip.gateway import placement as placement_module
-from wayslip.gateway import places as places_module
-from wayslip.gateway import resting
 from wayslip.gateway import view as view_module
 
 _LOG = logging.getLogger(__name__)
@@ -39,7 +39,7 @@
 _RETURN_SHARE = 0.5
 
 
-class Choosing:
+class EndpointChooser:
     """Finds endpoints for requests. Used on the event loop only."""
 
     def __init__(
@@ -47,7 +47,7 @@
         options: options_module.Options,
         view: view_module.EndpointView,
         placement: placement_module.Placement,
-        places: places_module.Places,
+        permit_broker: permit_broker_module.PermitBroker,
         endings: jobs.Endings,
         metrics: metrics_module.Metrics,
         has_idle: Callable[[str], bool],
@@ -58,20 +58,22 @@
             options: Of this instance.
             view: Of the endpoints.
             placement: Has models loaded.
-            places: At endpoints that name a limit.
+            permit_broker: At endpoints that name a limit.
             endings: End requests.
             metrics: Where the age of what is known is counted.
             has_idle: Whether a connection to an endpoint is idle.
         """
         self._view = view
         self._placement = placement
-        self._places = places
+        self._permit_broker = permit_broker
         self._endings = endings
         self._metrics = metrics
         self._has_idle = has_idle
-        self._resting = resting.Resting(view, lambda: placement.instances)
+        self._endpoint_backoff = backoff.EndpointBackoff(
+            view, lambda: placement.instances
+        )
         self._rng = random.Random()
-        self._patience = waiting.PATIENCES.get(options.patience)
+        self._patience = wait_policies.WAIT_POLICIES.get(options.max_wait)
 
     async def find(self, job: jobs.Job) -> selection.Choice | None:
         """Returns an endpoint that the request may be sent to now.
@@ -90,12 +92,12 @@
         Returns:
             None if nothing says when; see `resting`.
         """
-        return self._resting.find_return(job)
+        return self._endpoint_backoff.find_return(job)
 
     async def _find(self, job: jobs.Job) -> selection.Choice | None:
         """Returns an endpoint; answers the request if there is none."""
         choice = self._choose(job)
-        if choice is None and await self._resting.wait(job):
+        if choice is None and await self._endpoint_backoff.wait(job):
             choice = self._choose(job)
         if choice is None and self._may_be_loaded(job):
             choice = await self._wait_for_model(job)
@@ -121,12 +123,12 @@
             is to be chosen.
         """
         endpoint = self._view.tracked[choice.name].endpoint
-        patience = self._resting.find_patience(job)
-        verdict = await self._places.take(
-            endpoint, patience, job.traits.request_id
+        max_wait = self._endpoint_backoff.find_max_wait(job)
+        verdict = await self._permit_broker.take(
+            endpoint, max_wait, job.traits.request_id
         )
         if not verdict.is_granted:
-            self._view.words.note_spent(endpoint, verdict.wait)
+            self._view.notices.note_spent(endpoint, verdict.wait)
             return False
         if verdict.wait:
             await asyncio.sleep(verdict.wait)
@@ -164,7 +166,7 @@
 
     def _may_be_loaded(self, job: jobs.Job) -> bool:
         """Whether a load could help: no endpoint that rests has the model."""
-        return bool(job.traits.model) and not self._resting.is_due(job)
+        return bool(job.traits.model) and not self._endpoint_backoff.is_due(job)
 
     async def _wait_for_model(self, job: jobs.Job) -> selection.Choice | None:
         """Has a model or adapter loaded; waits while that is worth it."""
@@ -183,7 +185,7 @@
     def _find_patience(self, job: jobs.Job) -> float:
         """Returns for how long a request should wait for its model."""
         now = clock.now()
-        situation = waiting.Situation(
+        situation = wait_policies.Situation(
             waited=now - job.began,
             target=job.route.target,
             expected=self._placement.expect(job.service.name, job.traits),
@@ -204,7 +206,7 @@
             return
         wait = self._placement.expect(job.service.name, job.traits)
         reason = "not_loaded" if job.traits.model else "no_endpoint"
-        rest = self._resting.find_return(job)
+        rest = self._endpoint_backoff.find_return(job)
         if rest is not None:
             reason = "endpoints_rest"
             wait = rest if wait is None else min(wait, rest)
@@ -230,5 +232,5 @@
     then for as long as the request may wait for a model that is on its way.
     """
     left = job.deadline - job.began
-    longest = left * _RETURN_MOST + job.route.target * waiting.SURE_SHARE
+    longest = left * _RETURN_MOST + job.route.target * wait_policies.SURE_SHARE
     return 0.0 < _find_load_time(job) <= longest
--- a/src/wayslip/gateway/following.py
+++ b/src/wayslip/gateway/endpoint_follower.py
@@ -24,11 +24,11 @@
 from wayslip import metrics as metrics_module
 from wayslip.decisions import fleet
 from wayslip.decisions import position
-from wayslip.gateway import currency as currency_module
 from wayslip.gateway import facts
+from wayslip.gateway import staleness as staleness_module
 from wayslip.gateway import store as store_module
 from wayslip.gateway import view as view_module
-from wayslip.gateway import watching
+from wayslip.gateway import watcher
 
 _LOG = logging.getLogger(__name__)
 # An entry that lapsed is back within about two seconds of the store's return.
@@ -58,7 +58,7 @@
         self,
         store: store_module.Store,
         kind: store_module.Kind[fleet.Endpoint],
-        currency: currency_module.Currency,
+        staleness: staleness_module.Staleness,
         view: view_module.EndpointView,
         on_change: Callable[[], None],
         on_gone: Callable[[str], None],
@@ -87,10 +87,10 @@
         self._withheld: dict[str, fleet.Endpoint] = {}
         # The store's revision once the last known change was made.
         self.changed_at = 0
-        self.watcher = watching.Watcher(
+        self.watcher = watcher.Watcher(
             store,
             kind,
-            currency,
+            staleness,
             self._take_list,
             self._take_changes,
             wait,
@@ -116,7 +116,7 @@
         present = self._listed | self._lapsed
         missing = [n for n in self._view.tracked if n not in present]
         # A whole list follows on whatever was known before.
-        self._tell_all(0, listing.revision, found, missing, may_return)
+        self._announce_changes(0, listing.revision, found, missing, may_return)
         self._miss_all(missing, may_return)
         self._on_change()
 
@@ -128,7 +128,7 @@
         missing = [n for n, e in newest.items() if e is None]
         self._note_outage()
         may_return = self._may_have_lapsed()
-        self._tell_all(
+        self._announce_changes(
             self.changed_at, changes.revision, found, missing, may_return
         )
         self._take_entries(found)
@@ -208,7 +208,7 @@
             self._take_entries(found)
             self._on_change()
 
-    def _tell_all(
+    def _announce_changes(
         self,
         since: int,
         revision: int,
@@ -237,7 +237,7 @@
 
     # From and to other instances
 
-    def take_told(self, told: facts.Changes) -> None:
+    def apply_update(self, told: facts.Changes) -> None:
         """Takes in what the holder tells of the list."""
         revision = self.watcher.revision
         if told.revision and revision is not None and revision >= told.revision:
@@ -280,11 +280,11 @@
         return (self.watcher.revision or 0) >= revision
 
     @property
-    def is_blind(self) -> bool:
+    def lacks_list(self) -> bool:
         """Whether we lack something of the list and can not read it."""
         if self.watcher.lost_since is None:
             return False
-        return self.watcher.currency.is_behind or not self.watcher.is_synced
+        return self.watcher.staleness.is_behind or not self.watcher.is_synced
 
     def list_all(self) -> list[facts.Changes]:
         """Returns the list in parts, for an instance that can not read it."""
--- a/src/wayslip/gateway/words.py
+++ b/src/wayslip/gateway/endpoint_notices.py
@@ -28,7 +28,7 @@
     heard_at: float
 
 
-class Words:
+class EndpointNotices:
     """Words of endpoints, by their starts. Used on the event loop only."""
 
     def __init__(self) -> None:
@@ -58,7 +58,7 @@
         """Whether an endpoint said that it takes no new work."""
         return endpoint.start in self._leaving
 
-    def note_rest(self, endpoint: fleet.Endpoint, seconds: float) -> None:
+    def note_backoff(self, endpoint: fleet.Endpoint, seconds: float) -> None:
         """Notes that an endpoint wants nothing from us for some time."""
         start = endpoint.start
         until = clock.now() + seconds
@@ -73,7 +73,7 @@
         if len(self._spent) > _STARTS_MOST:
             del self._spent[next(iter(self._spent))]
 
-    def find_rest(self, endpoint: fleet.Endpoint) -> float:
+    def find_backoff(self, endpoint: fleet.Endpoint) -> float:
         """Returns the seconds for which an endpoint wants nothing from us."""
         return _find_left(self._rests, endpoint.start)
 
@@ -83,7 +83,7 @@
         It asked for rest, or all places in its limit are taken.
         """
         spent = _find_left(self._spent, endpoint.start)
-        return max(self.find_rest(endpoint), spent)
+        return max(self.find_backoff(endpoint), spent)
 
     # Limits
 
--- a/src/wayslip/gateway/facts.py
+++ b/src/wayslip/gateway/facts.py
@@ -80,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Level:
-    """What an organisation may send on; see `quota.Word`."""
+    """What an organisation may send on; see `quota.QuotaLevel`."""
 
     organisation: str
     level: int
@@ -160,7 +160,7 @@
 
     Attributes:
         number: Rises with every report of a process.
-        is_blind: Whether it lacks something of the platform's list and can
+        lacks_list: Whether it lacks something of the platform's list and can
             not read it now.
         echo_term: The term of the holder's last state that it heard.
         echo_stamp: When the holder sent that; see `detachment.make_stamp`.
@@ -175,7 +175,7 @@
     data_hall: str
     process: str
     number: int
-    is_blind: bool
+    lacks_list: bool
     usages: tuple[Usage, ...]
     demands: tuple[Demand, ...]
     echo_term: int = 0
@@ -187,7 +187,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Want:
+class ItemRequest:
     """A request waits for a model or adapter that no endpoint holds."""
 
     instance: str
@@ -198,7 +198,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
+class ItemUpdate:
     """An item is loaded in some seconds, or will be gone.
 
     Attributes:
@@ -256,7 +256,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seen:
+class WatchProgress:
     """How far the lease's holder follows a kind of objects.
 
     Attributes:
@@ -293,8 +293,8 @@
     address: str
     is_holder: bool
     instances: int
-    configuration: Seen
-    endpoints: Seen
+    configuration: WatchProgress
+    endpoints: WatchProgress
     usages: tuple[Usage, ...]
     stamp: int = 0
     is_detached: bool = False
@@ -328,7 +328,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
+class PlacementUpdate:
     """What is loaded or taken away, and what comes.
 
     Attributes:
@@ -338,7 +338,7 @@
 
     term: int
     is_whole: bool
-    words: tuple[Word, ...]
+    updates: tuple[ItemUpdate, ...]
     arrivals: tuple[Arrival, ...]
 
 
@@ -401,13 +401,13 @@
     """What was on its way to endpoints that ended; see `suspicion`.
 
     Attributes:
-        marks: That count, as far as the sender knows.
+        crash_records: That count, as far as the sender knows.
         cleared: That count no longer.
         common: Contents that endpoints answered before.
     """
 
-    marks: tuple[suspicion.Mark, ...] = ()
-    cleared: tuple[suspicion.Mark, ...] = ()
+    crash_records: tuple[suspicion.CrashRecord, ...] = ()
+    cleared: tuple[suspicion.CrashRecord, ...] = ()
     common: tuple[bytes, ...] = ()
 
 
@@ -434,25 +434,25 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlaceAsk:
+class PermitRequest:
     """An instance asks the lease's holder for a place; see `decisions.places`.
 
     Attributes:
         number: Tells the sender's questions apart.
         limit: The endpoint's, as the sender knows it.
-        patience: Seconds that the request can wait for a place.
+        max_wait: Seconds that the request can wait for a place.
     """
 
     number: int
     endpoint: str
     born: int
     limit: float
-    patience: float
+    max_wait: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlaceAnswer:
-    """The lease's holder's answer; see `places.Verdict`."""
+class PermitResponse:
+    """The lease's holder's answer; see `permit_broker.Verdict`."""
 
     number: int
     is_granted: bool
@@ -461,9 +461,9 @@
 
 Message = (
     Report
-    | Want
+    | ItemRequest
     | State
-    | News
+    | PlacementUpdate
     | Handover
     | Changes
     | Relay
@@ -473,6 +473,6 @@
     | Suspects
     | Leaving
     | Limited
-    | PlaceAsk
-    | PlaceAnswer
+    | PermitRequest
+    | PermitResponse
 )
--- a/src/wayslip/gateway/leadership.py
+++ b/src/wayslip/gateway/leadership.py
@@ -10,8 +10,8 @@
 from wayslip import logs
 from wayslip.decisions import lease
 from wayslip.decisions import position
-from wayslip.gateway import doubt
 from wayslip.gateway import options as options_module
+from wayslip.gateway import renewal_timeout
 from wayslip.gateway import store as store_module
 
 _LOG = logging.getLogger(__name__)
@@ -99,8 +99,8 @@
         self._follows_another = False
         self._is_stopping = False
         self._valid_until = 0.0
-        self._doubt = doubt.Doubt()
-        self.sight: lease.Sight | None = None
+        self._renewal_timeout = renewal_timeout.RenewalTimeout()
+        self.sight: lease.ObservedLease | None = None
 
     # What others ask
 
@@ -134,28 +134,30 @@
         if self.sight is None or self._is_held:
             return
         if revision > self.sight.revision:
-            self.sight = lease.Sight(self.sight.lease, revision, clock.now())
+            self.sight = lease.ObservedLease(
+                self.sight.lease, revision, clock.now()
+            )
             # The store is back, for the holder at least. Who needs to know
             # whether it answers us too will have us ask it again.
             self._is_cut_off = False
             self._renewed.set()
 
-    def hear_detached(self, term: int) -> None:
+    def receive_detached(self, term: int) -> None:
         """Takes in that the holder lives and goes on without the store."""
         if self.sight is None or self._is_held:
             return
         if self._yielded_term == term:
             self._yielded_term = 0
-        self.sight = lease.Sight(
+        self.sight = lease.ObservedLease(
             self.sight.lease, self.sight.revision, clock.now()
         )
 
-    def hear_yield(self, term: int) -> None:
+    def receive_yield(self, term: int) -> None:
         """Takes in that the holder of a term says it can not go on."""
         self._yielded_term = term
         self._asked.set()
 
-    def hear_holder(self, term: int, revision: int, address: str) -> None:
+    def receive_holder(self, term: int, revision: int, address: str) -> None:
         """Takes in from a new holder that it has the lease.
 
         This spares a read of the store, and it reaches a holder before that
@@ -166,7 +168,7 @@
         told = lease.Lease("", address, term)
         self._may_retake = False
         self._highest_term = max(self.seen_term, term)
-        self.sight = lease.Sight(told, revision, clock.now())
+        self.sight = lease.ObservedLease(told, revision, clock.now())
 
     @property
     def holder_address(self) -> str | None:
@@ -174,9 +176,9 @@
         return self.sight.lease.address if self.sight else None
 
     @property
-    def is_doubtful(self) -> bool:
+    def is_renewal_overdue(self) -> bool:
         """Whether our renewals have had no answer for too long."""
-        return self._doubt.is_grave
+        return self._renewal_timeout.has_expired
 
     @property
     def is_cut_off(self) -> bool:
@@ -188,7 +190,7 @@
         """Whether we hold the lease and may rely on that now."""
         return (
             self._is_held
-            and not self._doubt.is_grave
+            and not self._renewal_timeout.has_expired
             and clock.now() < self._valid_until
         )
 
@@ -216,9 +218,9 @@
             return
         # A holder whose lease ran out goes on writing: if that succeeds on
         # the old revision, nobody has taken the lease meanwhile.
-        is_answered = self.is_valid and not self._doubt.is_any
-        pause = lease.RENEWAL if is_answered else _REPEAT_SECONDS
-        if self._doubt.is_grave:
+        is_answered = self.is_valid and not self._renewal_timeout.is_any
+        pause = lease.RENEWAL_SECONDS if is_answered else _REPEAT_SECONDS
+        if self._renewal_timeout.has_expired:
             pause = _DOUBTFUL_SECONDS
         await asyncio.sleep(pause)
         await self.renew()
@@ -263,7 +265,9 @@
         except errors.ObjectError as e:
             await self._note_outage(e)
 
-    async def _read(self, may_be_stale: bool = False) -> lease.Sight | None:
+    async def _read(
+        self, may_be_stale: bool = False
+    ) -> lease.ObservedLease | None:
         async with self._lock:
             began = clock.now()
             stored = await self._store.get(self._kind, NAME, may_be_stale)
@@ -283,7 +287,7 @@
             # An old answer, or one that the holder's word has overtaken.
             return
         self._highest_term = self.seen_term
-        sight = lease.see(
+        sight = lease.observe_lease(
             self.sight, stored.value, stored.revision, clock.now()
         )
         self.sight = sight
@@ -300,8 +304,8 @@
             self._lose("another instance took it")
             return
         # A renewal whose answer was lost has taken effect.
-        self._doubt.end()
-        self._valid_until = max(self._valid_until, began + lease.HOLD)
+        self._renewal_timeout.end()
+        self._valid_until = max(self._valid_until, began + lease.HOLD_SECONDS)
 
     async def _look(self) -> None:
         if self._is_stopping:
@@ -362,14 +366,16 @@
             return 0.0
         if self._yielded_term == self.sight.lease.term:
             return 0.0
-        return lease.find_rest(self.sight, self._options.name, clock.now())
+        return lease.seconds_until_free(
+            self.sight, self._options.name, clock.now()
+        )
 
     def _is_heard_again(self) -> bool:
         """Whether a holder spoke while we let others go first."""
         return (
             self.sight is not None
             and self._yielded_term != self.sight.lease.term
-            and clock.now() - self.sight.since < lease.HOLD
+            and clock.now() - self.sight.since < lease.HOLD_SECONDS
         )
 
     async def _let_others_go_first(self) -> None:
@@ -378,7 +384,7 @@
         handicap += _LINK_HANDICAP_SECONDS / (1.0 + link / _LINK_HALF)
         await asyncio.sleep(handicap + random.uniform(0, _SPREAD_SECONDS))
 
-    async def _take(self, sight: lease.Sight | None) -> None:
+    async def _take(self, sight: lease.ObservedLease | None) -> None:
         began = clock.now()
         era = self._store.era
         term = lease.next_term(self.seen_term, era)
@@ -396,11 +402,11 @@
         self._follows_another = (
             sight is not None and sight.lease.holder != self._options.name
         )
-        self.sight = lease.Sight(mine, stored.revision, clock.now())
+        self.sight = lease.ObservedLease(mine, stored.revision, clock.now())
         self._own_term = mine.term
-        self._doubt.end()
+        self._renewal_timeout.end()
         self._is_held = True
-        self._valid_until = began + lease.HOLD
+        self._valid_until = began + lease.HOLD_SECONDS
         logs.event(_LOG, "lease_taken", term=mine.term)
         self._on_taken()
 
@@ -419,15 +425,15 @@
             assert self.sight is not None
             began = clock.now()
             mine = self.sight.lease.renew()
-            self._doubt.begin()
+            self._renewal_timeout.begin()
             stored = await self._store.replace(
                 self._kind,
                 store_module.Stored(NAME, self.sight.revision, mine),
                 _ANSWER_SECONDS,
             )
-            self._doubt.end()
-            self.sight = lease.Sight(mine, stored.revision, clock.now())
-            self._valid_until = began + lease.HOLD
+            self._renewal_timeout.end()
+            self.sight = lease.ObservedLease(mine, stored.revision, clock.now())
+            self._valid_until = began + lease.HOLD_SECONDS
 
     async def release(self) -> None:
         """Gives the lease back at a planned stop."""
@@ -455,7 +461,7 @@
     def _lose(self, reason: str) -> None:
         self._is_held = False
         self._highest_term = self.seen_term
-        self._doubt.end()
+        self._renewal_timeout.end()
         logs.event(_LOG, "lease_lost", logging.WARNING, reason=reason)
         self._on_lost()
         self._asked.set()
--- a/src/wayslip/gateway/limits.py
+++ b/src/wayslip/gateway/limits.py
@@ -52,15 +52,15 @@
         self._shares: dict[str, quota_module.Share] = {}
         self._sums: dict[str, _Sums] = {}
         self._own: demand_module.Rates[str] = demand_module.Rates(
-            quota_module.FADING
+            quota_module.FADING_SECONDS
         )
-        self._words: dict[str, quota_module.Word] = {}
+        self._words: dict[str, quota_module.QuotaLevel] = {}
         self._term = 0
         self._heard_at: float | None = None
         self._reported_at = 0.0
 
     @property
-    def words(self) -> dict[str, quota_module.Word]:
+    def words(self) -> dict[str, quota_module.QuotaLevel]:
         """What the holder last told, by organisation."""
         return self._words
 
@@ -123,12 +123,12 @@
 
     def _find_word(
         self, name: str, quota: organisations.Quota
-    ) -> quota_module.Word | None:
+    ) -> quota_module.QuotaLevel | None:
         """Returns what was told; an organisation not told of has its burst."""
         if self._heard_at is None:
             return None
         burst = self._allowance.stretch(quota.rate, quota.burst)
-        return self._words.get(name, quota_module.Word(burst, 0.0))
+        return self._words.get(name, quota_module.QuotaLevel(burst, 0.0))
 
     # With the holder
 
@@ -143,7 +143,7 @@
         self._term = state.term
         self._heard_at = now
         self._words = {
-            w.organisation: quota_module.Word(w.level, w.demand)
+            w.organisation: quota_module.QuotaLevel(w.level, w.demand)
             for w in state.levels
         }
         manifest = self._holder.manifest
--- a/src/wayslip/gateway/loads.py
+++ b/src/wayslip/gateway/loads.py
@@ -9,10 +9,10 @@
 from wayslip.decisions import lease
 from wayslip.decisions import loading
 from wayslip.decisions import manifest as manifest_module
-from wayslip.gateway import books as books_module
-from wayslip.gateway import charges
 from wayslip.gateway import engines
-from wayslip.gateway import ordering as ordering_module
+from wayslip.gateway import order_sender as order_sender_module
+from wayslip.gateway import planner_inputs
+from wayslip.gateway import tracked_engines as tracked_engines_module
 
 _LOG = logging.getLogger(__name__)
 # Longest wait for an unload, which waits for the model's runs, seconds.
@@ -33,82 +33,84 @@
 
     def __init__(
         self,
-        ordering: ordering_module.Ordering,
-        tell_all: Callable[[], None],
+        order_sender: order_sender_module.OrderSender,
+        announce_changes: Callable[[], None],
     ) -> None:
         """Initializes without any series.
 
         Args:
-            ordering: Gives the orders.
-            tell_all: Has the instances told what changed.
+            order_sender: Gives the orders.
+            announce_changes: Has the instances told what changed.
         """
-        self._ordering = ordering
-        self._tell_all = tell_all
+        self._order_sender = order_sender
+        self._announce_changes = announce_changes
 
     async def carry_out(
         self,
-        book: books_module.Book,
+        tracked_engine: tracked_engines_module.TrackedEngine,
         step: loading.Step,
         pool: manifest_module.Pool,
     ) -> None:
         """Makes room for a model and loads it."""
         is_loaded = False
         try:
-            if await self._make_room(book, step):
-                is_loaded = await self._load(book, step, pool)
+            if await self._make_room(tracked_engine, step):
+                is_loaded = await self._load(tracked_engine, step, pool)
         finally:
             if not is_loaded:
-                book.rests_until = clock.now() + _FAILED_REST
-            book.ready_at.pop(step.model, None)
-            self._tell_all()
+                tracked_engine.rests_until = clock.now() + _FAILED_REST
+            tracked_engine.ready_at.pop(step.model, None)
+            self._announce_changes()
 
     async def _make_room(
-        self, book: books_module.Book, step: loading.Step
+        self,
+        tracked_engine: tracked_engines_module.TrackedEngine,
+        step: loading.Step,
     ) -> bool:
         """Unloads the victims; returns whether all are gone."""
-        if not await self._ordering.learn(book):
+        if not await self._order_sender.learn(tracked_engine):
             return False
         for victim in step.victims:
             item = (victim, "")
-            book.withdrawn.add(item)
-            self._tell_all()
-            outcome = await self._ordering.order(
-                book, lease.Action.UNLOAD, item
+            tracked_engine.withdrawn.add(item)
+            self._announce_changes()
+            outcome = await self._order_sender.order(
+                tracked_engine, lease.Action.UNLOAD, item
             )
             if outcome not in engines.DONE:
-                book.withdrawn.discard(item)
+                tracked_engine.withdrawn.discard(item)
                 return False
-            if not await self._ordering.wait_for_model(
-                book, victim, False, _UNLOAD_SECONDS
+            if not await self._order_sender.wait_for_model(
+                tracked_engine, victim, False, _UNLOAD_SECONDS
             ):
                 return False
         return True
 
     async def _load(
         self,
-        book: books_module.Book,
+        tracked_engine: tracked_engines_module.TrackedEngine,
         step: loading.Step,
         pool: manifest_module.Pool,
     ) -> bool:
         need = pool.models[step.model].weights_mb
 
         def fits() -> bool:
-            total, _ = charges.sum_charges(book, pool)
+            total, _ = planner_inputs.sum_charges(tracked_engine, pool)
             return total + need <= pool.weights_mb
 
-        outcome = await self._ordering.order(
-            book, lease.Action.LOAD, (step.model, ""), fits
+        outcome = await self._order_sender.order(
+            tracked_engine, lease.Action.LOAD, (step.model, ""), fits
         )
         if outcome not in engines.DONE:
             return False
-        book.ready_at[step.model] = clock.now() + step.seconds
-        self._tell_all()
+        tracked_engine.ready_at[step.model] = clock.now() + step.seconds
+        self._announce_changes()
         limit = step.seconds * _LOAD_FACTOR + _LOAD_EXTRA
         await asyncio.sleep(step.seconds * 0.9)
-        is_done = await self._ordering.wait_for_model(
-            book, step.model, True, limit
+        is_done = await self._order_sender.wait_for_model(
+            tracked_engine, step.model, True, limit
         )
-        book.loaded_at[step.model] = clock.now()
+        tracked_engine.loaded_at[step.model] = clock.now()
         logs.event(
             _LOG,
             "load_ended",
@@ -122,34 +124,43 @@
 
     async def settle(
         self,
-        book: books_module.Book,
-        is_within: Callable[[books_module.Book], bool],
+        tracked_engine: tracked_engines_module.TrackedEngine,
+        is_within: Callable[[tracked_engines_module.TrackedEngine], bool],
     ) -> None:
         """Settles an order that the holder before us left open.
 
         Args:
-            book: Whose engine it was for.
+            tracked_engine: Whose engine it was for.
             is_within: Whether all that an engine's book charges fits.
         """
-        pending = book.pending
-        await self._ordering.settle(book, lambda: is_within(book))
+        pending = tracked_engine.pending
+        await self._order_sender.settle(
+            tracked_engine, lambda: is_within(tracked_engine)
+        )
         if pending is None or pending.adapter:
             return
-        if (pending.model, "") in book.added:
-            book.ready_at[pending.model] = clock.now() + _ADOPTED_SECONDS
-            await self.see_loaded(book, pending.model, _ADOPTED_SECONDS)
+        if (pending.model, "") in tracked_engine.added:
+            tracked_engine.ready_at[pending.model] = (
+                clock.now() + _ADOPTED_SECONDS
+            )
+            await self.see_loaded(
+                tracked_engine, pending.model, _ADOPTED_SECONDS
+            )
 
     async def see_loaded(
-        self, book: books_module.Book, model: str, seconds: float
+        self,
+        tracked_engine: tracked_engines_module.TrackedEngine,
+        model: str,
+        seconds: float,
     ) -> None:
         """Waits for a load that was ordered by the holder before us."""
         try:
-            state = await self._ordering.sync(book)
+            state = await self._order_sender.sync(tracked_engine)
             if state is not None and not state.is_busy:
                 return
-            await self._ordering.wait_for_model(
-                book, model, True, seconds + _LOAD_EXTRA
+            await self._order_sender.wait_for_model(
+                tracked_engine, model, True, seconds + _LOAD_EXTRA
             )
         finally:
-            book.ready_at.pop(model, None)
-            self._tell_all()
+            tracked_engine.ready_at.pop(model, None)
+            self._announce_changes()
--- a/src/wayslip/gateway/members.py
+++ b/src/wayslip/gateway/members.py
@@ -127,7 +127,7 @@
         for sample in report.readings:
             self._readings.note(sample.model, sample.rate)
 
-    def meet(self, want: facts.Want, source: hub_module.Address) -> None:
+    def meet(self, want: facts.ItemRequest, source: hub_module.Address) -> None:
         """Takes in where an instance hears us before its first report."""
         if want.instance not in self._members:
             peer = _make_peer(source, want.data_hall)
@@ -205,7 +205,7 @@
             found[model] = copies.Demand(
                 rate=rate,
                 work=self.work(service, model),
-                owed=self.owed(service, model),
+                unserved=self.unserved(service, model),
                 missing_adapter=adapters.get(model, 0.0) * misses,
             )
         return found
@@ -219,7 +219,7 @@
                 found.setdefault(model, 0.0)
         return found
 
-    def owed(self, service: str, model: str) -> float:
+    def unserved(self, service: str, model: str) -> float:
         """Returns what loading a model gains for those it was refused to."""
         count = self._misses.get((service, model), 0)
         late = max(count - _FIRST_MISSES, 0)
@@ -283,7 +283,7 @@
         """Returns where instances hear their peers, as the holder last told."""
         return [p.address for p in self._told]
 
-    def list_words(self, term: int, own: str) -> list[detachment.Word]:
+    def list_words(self, term: int, own: str) -> list[detachment.PeerStatus]:
         """Returns what the other instances said in answer to our states.
 
         Args:
@@ -291,7 +291,7 @@
             own: Where we hear ourselves, "IP:PORT".
         """
         return [
-            detachment.Word(
+            detachment.PeerStatus(
                 m.echo[1] if m.echo[0] == term else float("-inf"),
                 m.is_cut_off,
             )
@@ -312,7 +312,7 @@
 
         To be called while the lease is renewed.
         """
-        limit = clock.now() - detachment.MISSING
+        limit = clock.now() - detachment.MISSING_SECONDS
         self._missing = {p: at for p, at in self._missing.items() if at > limit}
 
     def begin(self) -> None:
--- a/src/wayslip/gateway/options.py
+++ b/src/wayslip/gateway/options.py
@@ -77,7 +77,7 @@
         cores: Processor time that the instance has, cores of usual speed.
         bytes_per_s: Of the instance's link.
         urgency: How priorities are put together; see `decisions.urgency`.
-        patience: How long requests wait for models; see `decisions.waiting`.
+        max_wait: How long requests wait for models; see `decisions.waiting`.
     """
 
     name: str
@@ -92,4 +92,4 @@
     cores: float = 1.0
     bytes_per_s: float = 125e6
     urgency: str = "both"
-    patience: str = "target"
+    max_wait: str = "target"
--- a/src/wayslip/gateway/ordering.py
+++ b/src/wayslip/gateway/order_sender.py
@@ -18,11 +18,11 @@
 from wayslip.decisions import fleet
 from wayslip.decisions import inventory as inventory_module
 from wayslip.decisions import lease
-from wayslip.gateway import books as books_module
 from wayslip.gateway import claims as claims_module
 from wayslip.gateway import engines as engines_module
 from wayslip.gateway import options as options_module
 from wayslip.gateway import store as store_module
+from wayslip.gateway import tracked_engines as tracked_engines_module
 
 _LOG = logging.getLogger(__name__)
 # Between looks at an engine whose order had no answer, seconds. Its reports
@@ -40,7 +40,7 @@
 _BUSY_REST = 0.2
 
 
-class Ordering:
+class OrderSender:
     """Gives orders to engines, claiming each engine before."""
 
     def __init__(
@@ -52,7 +52,9 @@
     ) -> None:
         self._client = client
         self._metrics = metrics
-        self.books: dict[str, books_module.Book] = {}
+        self.tracked_engines: dict[
+            str, tracked_engines_module.TrackedEngine
+        ] = {}
         # Whether an engine's limit leaves room for a report or an order now;
         # set by who knows.
         self.may_call: Callable[[fleet.Endpoint], bool] = lambda endpoint: True
@@ -62,44 +64,48 @@
 
     # Orders
 
-    async def sync(self, book: books_module.Book) -> fleet.EngineState | None:
+    async def sync(
+        self, tracked_engine: tracked_engines_module.TrackedEngine
+    ) -> fleet.EngineState | None:
         """Asks an engine for its count of orders and what it holds."""
-        if not self.may_call(book.endpoint):
+        if not self.may_call(tracked_engine.endpoint):
             return None
         try:
-            state = await self._client.report(book.endpoint)
+            state = await self._client.report(tracked_engine.endpoint)
         except errors.EndpointError as e:
             logs.event(
                 _LOG,
                 "report_failed",
-                endpoint=book.endpoint.name,
+                endpoint=tracked_engine.endpoint.name,
                 reason=e.reason,
             )
             return None
-        is_new = book.take_state(state, clock.now())
+        is_new = tracked_engine.take_state(state, clock.now())
         logs.event(
             _LOG,
             "report",
-            endpoint=book.endpoint.name,
+            endpoint=tracked_engine.endpoint.name,
             orders=state.orders,
             busy=state.is_busy,
             new=is_new,
         )
         return state if is_new else None
 
-    async def learn(self, book: books_module.Book) -> bool:
+    async def learn(
+        self, tracked_engine: tracked_engines_module.TrackedEngine
+    ) -> bool:
         """Sees to it that an engine's count and content are known."""
         for attempt in range(_LEARN_TRIES):
-            if book.is_certain:
+            if tracked_engine.is_certain:
                 return True
             if attempt:
                 await asyncio.sleep(_LEARN_SECONDS)
-            await self.sync(book)
-        return book.is_certain
+            await self.sync(tracked_engine)
+        return tracked_engine.is_certain
 
     async def order(
         self,
-        book: books_module.Book,
+        tracked_engine: tracked_engines_module.TrackedEngine,
         action: lease.Action,
         item: fleet.Item,
         may_send: Callable[[], bool] = lambda: True,
@@ -107,7 +113,7 @@
         """Gives an order; returns once its effect is certain.
 
         Args:
-            book: Whose engine it is for.
+            tracked_engine: Whose engine it is for.
             action: What to do.
             item: The model and adapter; the adapter is empty for the model.
             may_send: Asked when no other order is under way, so that what
@@ -117,100 +123,110 @@
             What came of it.
         """
         model, adapter = item
-        async with book.lock:
-            if not await self.learn(book) or not may_send():
+        async with tracked_engine.lock:
+            if not await self.learn(tracked_engine) or not may_send():
                 return engines_module.OrderOutcome.REFUSED
-            assert book.inventory is not None
-            known = _judge_without_asking(book.inventory, action, item)
+            assert tracked_engine.inventory is not None
+            known = _judge_without_asking(
+                tracked_engine.inventory, action, item
+            )
             if known is not None:
                 return known
             pending = lease.Pending(
-                book.endpoint.name,
-                book.inventory.orders,
+                tracked_engine.endpoint.name,
+                tracked_engine.inventory.orders,
                 action,
                 model,
                 adapter,
             )
-            return await self._give(book, pending)
+            return await self._give(tracked_engine, pending)
 
     async def settle(
-        self, book: books_module.Book, fits: Callable[[], bool]
+        self,
+        tracked_engine: tracked_engines_module.TrackedEngine,
+        fits: Callable[[], bool],
     ) -> None:
         """Settles an order that a holder before us left open.
 
         Args:
-            book: Whose engine it was for.
+            tracked_engine: Whose engine it was for.
             fits: Whether all that is charged fits, this order included. The
                 holder before us may have been wrong about the count, and
                 what fitted then may not fit at that count now.
         """
-        async with book.lock:
-            pending = book.pending
+        async with tracked_engine.lock:
+            pending = tracked_engine.pending
             if pending is None:
                 return
-            outcome = await self._repeat(book, pending, fits)
-            self._note(book, pending, outcome, {})
+            outcome = await self._repeat(tracked_engine, pending, fits)
+            self._note(tracked_engine, pending, outcome, {})
 
     async def _give(
-        self, book: books_module.Book, pending: lease.Pending
+        self,
+        tracked_engine: tracked_engines_module.TrackedEngine,
+        pending: lease.Pending,
     ) -> engines_module.OrderOutcome:
-        room = book.describe_room(clock.now())
-        book.pending = pending
-        outcome = await self._send(book, pending)
+        room = tracked_engine.describe_room(clock.now())
+        tracked_engine.pending = pending
+        outcome = await self._send(tracked_engine, pending)
         if outcome is None:
             # It was not sent, so nothing of it can take effect.
-            book.pending = None
+            tracked_engine.pending = None
             return engines_module.OrderOutcome.REFUSED
         if outcome is engines_module.OrderOutcome.UNKNOWN:
-            outcome = await self._repeat(book, pending)
-        self._note(book, pending, outcome, room)
+            outcome = await self._repeat(tracked_engine, pending)
+        self._note(tracked_engine, pending, outcome, room)
         return outcome
 
     async def _send(
-        self, book: books_module.Book, pending: lease.Pending
+        self,
+        tracked_engine: tracked_engines_module.TrackedEngine,
+        pending: lease.Pending,
     ) -> engines_module.OrderOutcome | None:
         """Claims the engine and sends an order; None if it was not sent."""
-        if not self.may_call(book.endpoint):
+        if not self.may_call(tracked_engine.endpoint):
             return None
         began = clock.now()
         claim = await self.claims.write(pending)
-        if claim is None or clock.now() - began > lease.SEND_LIMIT:
+        if claim is None or clock.now() - began > lease.SEND_LIMIT_SECONDS:
             return None
         authority = engines_module.Authority(claim.holder, claim.token)
         self._metrics.count("orders", action=pending.action.value)
         sent_at = clock.now()
-        outcome = await self._client.order(book.endpoint, pending, authority)
+        outcome = await self._client.order(
+            tracked_engine.endpoint, pending, authority
+        )
         if outcome is engines_module.OrderOutcome.UNKNOWN:
-            book.note_unanswered(pending, sent_at)
+            tracked_engine.note_unanswered(pending, sent_at)
         return outcome
 
     async def _repeat(
         self,
-        book: books_module.Book,
+        tracked_engine: tracked_engines_module.TrackedEngine,
         pending: lease.Pending,
         fits: Callable[[], bool] = lambda: True,
     ) -> engines_module.OrderOutcome:
         """Repeats an order until the engine's count tells what came of it."""
         outcomes = engines_module.OrderOutcome
-        while self.books.get(pending.endpoint) is book:
+        while self.tracked_engines.get(pending.endpoint) is tracked_engine:
             await asyncio.sleep(_REPEAT_SECONDS)
-            state = await self.sync(book)
+            state = await self.sync(tracked_engine)
             if state is not None and state.orders > pending.orders:
                 return outcomes.TAKEN
-            if state is None or not book.is_certain:
+            if state is None or not tracked_engine.is_certain:
                 continue
             if state.orders < pending.orders or not fits():
                 # It can not be taken now, and may arrive when it can.
-                book.stray = pending
+                tracked_engine.abandoned = pending
                 return outcomes.REFUSED
-            outcome = await self._send(book, pending)
+            outcome = await self._send(tracked_engine, pending)
             if outcome in (outcomes.TAKEN, outcomes.HELD, outcomes.ELSEWHERE):
                 return outcome
         return outcomes.ELSEWHERE
 
     def _note(
         self,
-        book: books_module.Book,
+        tracked_engine: tracked_engines_module.TrackedEngine,
         pending: lease.Pending,
         outcome: engines_module.OrderOutcome,
         room: dict[str, Any],
@@ -228,21 +244,27 @@
             configuration=self.find_version(),
             **room,
         )
-        book.pending = None
+        tracked_engine.pending = None
         now = clock.now()
         outcomes = engines_module.OrderOutcome
         if outcome is outcomes.TAKEN:
-            book.note_taken(pending, now)
+            tracked_engine.note_taken(pending, now)
         elif outcome is outcomes.HELD and _is_adapters_unload(pending):
-            book.note_dropped(pending, now)
+            tracked_engine.note_dropped(pending, now)
         else:
-            book.note_unclear()
+            tracked_engine.note_unclear()
         if outcome is outcomes.BUSY:
             # A report of the same moment would tell the same count again.
-            book.rests_until = max(book.rests_until, now + _BUSY_REST)
+            tracked_engine.rests_until = max(
+                tracked_engine.rests_until, now + _BUSY_REST
+            )
 
     async def wait_for_model(
-        self, book: books_module.Book, model: str, is_held: bool, seconds: float
+        self,
+        tracked_engine: tracked_engines_module.TrackedEngine,
+        model: str,
+        is_held: bool,
+        seconds: float,
     ) -> bool:
         """Waits until an engine holds a model, or does not.
 
@@ -252,18 +274,28 @@
         item = (model, "")
         end = clock.now() + seconds
         while clock.now() < end:
-            if self.books.get(book.endpoint.name) is not book:
+            if (
+                self.tracked_engines.get(tracked_engine.endpoint.name)
+                is not tracked_engine
+            ):
                 return False
-            if book.holds(item) if is_held else book.lacks(item):
+            if (
+                tracked_engine.holds(item)
+                if is_held
+                else tracked_engine.lacks(item)
+            ):
                 return True
-            if await self._is_listed_anew(book, item, is_held):
+            if await self._is_listed_anew(tracked_engine, item, is_held):
                 # Reports are a little older than what made the entry change.
                 await asyncio.sleep(_LEARN_SECONDS)
-            await self.sync(book)
+            await self.sync(tracked_engine)
         return False
 
     async def _is_listed_anew(
-        self, book: books_module.Book, item: fleet.Item, is_held: bool
+        self,
+        tracked_engine: tracked_engines_module.TrackedEngine,
+        item: fleet.Item,
+        is_held: bool,
     ) -> bool:
         """Waits for a while until an engine's entry shows what is awaited.
 
@@ -272,9 +304,9 @@
         try:
             async with asyncio.timeout(_POLL_SECONDS):
                 while True:
-                    book.changed.clear()
-                    await book.changed.wait()
-                    if (item in book.listed()) is is_held:
+                    tracked_engine.changed.clear()
+                    await tracked_engine.changed.wait()
+                    if (item in tracked_engine.listed()) is is_held:
                         return True
         except TimeoutError:
             return False
--- a/src/wayslip/gateway/pages.py
+++ b/src/wayslip/gateway/pages.py
@@ -7,7 +7,7 @@
 
 from wayslip import metrics as metrics_module
 from wayslip import registry
-from wayslip.gateway import copying
+from wayslip.gateway import copy_client
 from wayslip.gateway import distribution as distribution_module
 from wayslip.gateway import quarantine as quarantine_module
 from wayslip.http1 import server
@@ -88,6 +88,6 @@
     exchange.answer(200, _JSON, json.dumps({"lifted": text}).encode())
 
 
-@_PAGES.register(copying.PATH)
+@_PAGES.register(copy_client.PATH)
 async def _hand_on(pages: Pages, exchange: server.Exchange) -> None:
     await pages.distribution.answer(exchange)
--- a/src/wayslip/gateway/audience.py
+++ b/src/wayslip/gateway/peer_broadcast.py
@@ -7,7 +7,7 @@
 from wayslip.gateway import members as members_module
 
 
-class Audience:
+class PeerBroadcast:
     """All instances as far as this one knows them."""
 
     def __init__(
--- a/src/wayslip/gateway/places.py
+++ b/src/wayslip/gateway/permit_broker.py
@@ -14,12 +14,12 @@
 from wayslip import clock
 from wayslip import logs
 from wayslip.decisions import fleet
-from wayslip.decisions import places
-from wayslip.gateway import audience as audience_module
+from wayslip.decisions import permits
+from wayslip.gateway import endpoint_notices as endpoint_notices_module
 from wayslip.gateway import facts
 from wayslip.gateway import hub as hub_module
 from wayslip.gateway import leadership as leadership_module
-from wayslip.gateway import words as words_module
+from wayslip.gateway import peer_broadcast as peer_broadcast_module
 
 _LOG = logging.getLogger(__name__)
 # The holder's answer is waited for this long, seconds: a trip there and back,
@@ -43,19 +43,19 @@
             burst: Places that each saves up at most.
         """
         self._burst = burst
-        self._accounts: dict[fleet.Start, places.Account] = {}
+        self._accounts: dict[fleet.Start, permits.PermitBucket] = {}
 
     def take(
-        self, start: fleet.Start, rate: float, patience: float
-    ) -> places.Verdict:
+        self, start: fleet.Start, rate: float, max_wait: float
+    ) -> permits.Verdict:
         """Takes a place of an endpoint under a limit."""
         now = clock.now()
         account = self._accounts.pop(start, None)
         if account is None:
-            account = places.Account.begin(rate, now, self._burst)
+            account = permits.PermitBucket.begin(rate, now, self._burst)
         elif account.rate != rate:
             account = account.change_rate(rate, now)
-        account, verdict = account.take(patience, now)
+        account, verdict = account.take(max_wait, now)
         self._accounts[start] = account
         if len(self._accounts) > _ACCOUNTS_MOST:
             del self._accounts[next(iter(self._accounts))]
@@ -70,16 +70,16 @@
         self._accounts.clear()
 
 
-class Places:
+class PermitBroker:
     """Asks for places, and gives them out. Used on the event loop only."""
 
     def __init__(
         self,
         name: str,
-        words: words_module.Words,
+        notices: endpoint_notices_module.EndpointNotices,
         hub: hub_module.Hub,
         leadership: leadership_module.Leadership,
-        audience: audience_module.Audience,
+        peer_broadcast: peer_broadcast_module.PeerBroadcast,
         hears_holder: Callable[[], bool],
         count_instances: Callable[[], int],
     ) -> None:
@@ -87,25 +87,25 @@
 
         Args:
             name: Of this instance.
-            words: What endpoints said of themselves.
+            notices: What endpoints said of themselves.
             hub: Sends datagrams.
             leadership: Knows the lease's holder.
-            audience: Whom news concerns.
+            peer_broadcast: Whom news concerns.
             hears_holder: Whether the holder was heard a moment ago.
             count_instances: Returns how many instances there are.
         """
         self._name = name
-        self._words = words
+        self._words = notices
         self._hub = hub
         self._leadership = leadership
-        self._audience = audience
+        self._peer_broadcast = peer_broadcast
         self._hears_holder = hears_holder
         self._count_instances = count_instances
-        self._given = _Accounts(places.BURST)
+        self._given = _Accounts(permits.BURST)
         self._calls = _Accounts(1.0)
         # By ourselves, while no holder is heard.
         self._own = _Accounts(1.0)
-        self._asked: dict[int, asyncio.Future[places.Verdict]] = {}
+        self._asked: dict[int, asyncio.Future[permits.Verdict]] = {}
         self._number = 0
 
     # What endpoints say
@@ -128,15 +128,15 @@
             return
         self._log(start, limit, self._name)
         told = facts.Limited(start.endpoint, start.born, limit)
-        self._audience.spread(told)
+        self._peer_broadcast.spread(told)
 
-    def take_told(self, told: facts.Limited, source: str) -> None:
+    def apply_update(self, told: facts.Limited, source: str) -> None:
         """Takes in what another instance heard."""
         start = fleet.Start(told.endpoint, told.born)
         if not self._words.note_limit(start, told.limit, clock.now()):
             return
         self._log(start, told.limit, source)
-        self._audience.pass_on(told)
+        self._peer_broadcast.pass_on(told)
 
     def _log(
         self, start: fleet.Start, limit: float | None, source: str
@@ -153,13 +153,13 @@
     # Asking
 
     async def take(
-        self, endpoint: fleet.Endpoint, patience: float, request_id: str
-    ) -> places.Verdict:
+        self, endpoint: fleet.Endpoint, max_wait: float, request_id: str
+    ) -> permits.Verdict:
         """Takes a place for one request.
 
         Args:
             endpoint: Where it is to be sent.
-            patience: Seconds that it can wait before it is sent.
+            max_wait: Seconds that it can wait before it is sent.
             request_id: Of the request.
 
         Returns:
@@ -167,15 +167,15 @@
         """
         limit = self._words.find_limit(endpoint.start)
         if limit is None:
-            return places.FREE
-        verdict, source = await self._decide(endpoint.start, limit, patience)
+            return permits.FREE
+        verdict, source = await self._decide(endpoint.start, limit, max_wait)
         logs.event(
             _LOG,
             "place_asked_for",
             request=request_id,
             endpoint=endpoint.name,
             limit=limit,
-            patience=f"{patience:.2f}",
+            patience=f"{max_wait:.2f}",
             granted=verdict.is_granted,
             wait=f"{verdict.wait:.2f}",
             source=source,
@@ -183,21 +183,21 @@
         return verdict
 
     async def _decide(
-        self, start: fleet.Start, limit: float, patience: float
-    ) -> tuple[places.Verdict, str]:
+        self, start: fleet.Start, limit: float, max_wait: float
+    ) -> tuple[permits.Verdict, str]:
         if self._leadership.is_held:
-            return self._given.take(start, limit, patience), "own"
+            return self._given.take(start, limit, max_wait), "own"
         if self._hears_holder():
-            verdict = await self._ask(start, limit, patience)
+            verdict = await self._ask(start, limit, max_wait)
             if verdict is not None:
                 # Our part is saved up from when the holder falls silent.
                 self._own.begin_anew(start)
                 return verdict, "holder"
-        return self._take_part(start, limit, patience), "part"
+        return self._take_part(start, limit, max_wait), "part"
 
     async def _ask(
-        self, start: fleet.Start, limit: float, patience: float
-    ) -> places.Verdict | None:
+        self, start: fleet.Start, limit: float, max_wait: float
+    ) -> permits.Verdict | None:
         """Asks the holder; returns None if it does not answer."""
         holder = self._leadership.holder_address
         if holder is None:
@@ -206,8 +206,8 @@
         number = self._number
         answer = asyncio.get_running_loop().create_future()
         self._asked[number] = answer
-        ask = facts.PlaceAsk(
-            number, start.endpoint, start.born, limit, patience
+        ask = facts.PermitRequest(
+            number, start.endpoint, start.born, limit, max_wait
         )
         self._hub.send(ask, addresses.split_address(holder))
         try:
@@ -219,33 +219,37 @@
             del self._asked[number]
 
     def _take_part(
-        self, start: fleet.Start, limit: float, patience: float
-    ) -> places.Verdict:
+        self, start: fleet.Start, limit: float, max_wait: float
+    ) -> permits.Verdict:
         """Takes a place of our own part of a limit."""
         draw = _draw(self._name, start)
-        part = places.find_part(limit, self._count_instances(), draw)
+        part = permits.find_part(limit, self._count_instances(), draw)
         if part is None:
-            return places.Verdict(False, _LEFT_SECONDS)
-        return self._own.take(start, part, patience)
+            return permits.Verdict(False, _LEFT_SECONDS)
+        return self._own.take(start, part, max_wait)
 
     # Giving
 
-    def answer(self, ask: facts.PlaceAsk, source: hub_module.Address) -> None:
+    def answer(
+        self, ask: facts.PermitRequest, source: hub_module.Address
+    ) -> None:
         """Answers another instance, if we hold the lease."""
         if not self._leadership.is_held:
             return
         start = fleet.Start(ask.endpoint, ask.born)
         known = self._words.find_limit(start)
         limit = ask.limit if known is None else min(ask.limit, known)
-        verdict = self._given.take(start, limit, ask.patience)
-        told = facts.PlaceAnswer(ask.number, verdict.is_granted, verdict.wait)
+        verdict = self._given.take(start, limit, ask.max_wait)
+        told = facts.PermitResponse(
+            ask.number, verdict.is_granted, verdict.wait
+        )
         self._hub.send(told, source)
 
-    def take_answer(self, told: facts.PlaceAnswer) -> None:
+    def take_answer(self, told: facts.PermitResponse) -> None:
         """Takes in the holder's answer, unless it comes too late."""
         answer = self._asked.get(told.number)
         if answer is not None and not answer.done():
-            answer.set_result(places.Verdict(told.is_granted, told.wait))
+            answer.set_result(permits.Verdict(told.is_granted, told.wait))
 
     def begin_term(self) -> None:
         """Begins to give places out, as a new holder."""
@@ -259,7 +263,7 @@
         limit = self._words.find_limit(endpoint.start)
         if limit is None:
             return True
-        share = max(limit, places.LEAST_RATE) * places.CALLS_SHARE
+        share = max(limit, permits.LEAST_RATE) * permits.CALLS_SHARE
         may_call = (
             self._calls.take(endpoint.start, share, 0.0).is_granted
             and self._given.take(endpoint.start, limit, 0.0).is_granted
--- a/src/wayslip/gateway/placement.py
+++ b/src/wayslip/gateway/placement.py
@@ -12,6 +12,7 @@
 from wayslip import clock
 from wayslip import logs
 from wayslip.decisions import backlog
+from wayslip.gateway import announcements
 from wayslip.gateway import dialect
 from wayslip.gateway import facts
 from wayslip.gateway import hub as hub_module
@@ -19,7 +20,6 @@
 from wayslip.gateway import limits as limits_module
 from wayslip.gateway import members as members_module
 from wayslip.gateway import options as options_module
-from wayslip.gateway import telling
 from wayslip.gateway import view as view_module
 
 _LOG = logging.getLogger(__name__)
@@ -55,7 +55,7 @@
         hub: hub_module.Hub,
         leadership: leadership_module.Leadership,
         members: members_module.Members,
-        is_blind: Callable[[], bool],
+        lacks_list: Callable[[], bool],
         limiter: limits_module.Limiter,
     ) -> None:
         self._limiter = limiter
@@ -64,7 +64,7 @@
         self._hub = hub
         self._leadership = leadership
         self._members = members
-        self._is_blind = is_blind
+        self._lacks_list = lacks_list
         self._process = f"{options.name}-{os.getpid()}-{time.monotonic_ns()}"
         self._number = 0
         self._demand: collections.Counter[tuple[str, str, str]] = (
@@ -100,7 +100,7 @@
         return self.word_age <= _SILENCE_SECONDS
 
     @property
-    def is_spoken_to(self) -> bool:
+    def has_recent_contact(self) -> bool:
         """Whether the holder, or one that can not renew, spoke a moment ago.
 
         It goes on trying and tells of what it learns.
@@ -114,7 +114,7 @@
         service: str,
         traits: dialect.Traits,
         work: float,
-        is_patient: bool,
+        will_wait: bool,
     ) -> None:
         """Counts a request for a model.
 
@@ -122,14 +122,14 @@
             service: Of its route.
             traits: Of the request.
             work: Seconds that an engine takes to read its prompt.
-            is_patient: Whether its client can wait for a load.
+            will_wait: Whether its client can wait for a load.
         """
         if not traits.model:
             return
         item = (service, traits.model, traits.adapter)
         self._demand[item] += 1
         self._work[item] = self._work.get(item, 0.0) + work
-        self._patient[item] += is_patient
+        self._patient[item] += will_wait
 
     async def want(
         self, service: str, traits: dialect.Traits, seconds: float
@@ -146,7 +146,7 @@
         now = clock.now()
         if now - self._wished.get(item, 0.0) > _WISH_SECONDS:
             self._wished[item] = now
-            wish = facts.Want(
+            wish = facts.ItemRequest(
                 self._options.name, self._options.data_hall, *item
             )
             self._hub.send(wish, addresses.split_address(holder))
@@ -176,7 +176,7 @@
         """
         if not model:
             return 0.0
-        age = self._find_report_seconds() + telling.STATE_SECONDS
+        age = self._find_report_seconds() + announcements.STATE_SECONDS
         return self._members.work(service, model) * age
 
     def notify(self) -> None:
@@ -215,7 +215,7 @@
         await asyncio.sleep(random.uniform(0, self.instances / _ANSWERS_MOST))
         self._is_report_due.clear()
 
-    def hasten(self) -> None:
+    def report_soon(self) -> None:
         """Has the next report given soon, because the holder waits for it."""
         self._is_report_due.set()
 
@@ -232,7 +232,7 @@
             self._options.data_hall,
             self._process,
             self._number,
-            self._is_blind(),
+            self._lacks_list(),
             tuple(
                 facts.Usage.of(name, t.in_flight, t.unread)
                 for name, t in self._view.tracked.items()
@@ -262,7 +262,7 @@
         self._patient.clear()
         self._hub.send(report, addresses.split_address(holder))
 
-    def say_leaving(self) -> None:
+    def announce_leaving(self) -> None:
         """Tells the holder that this instance stops as planned."""
         self._is_leaving = True
         self._report()
@@ -273,29 +273,29 @@
         if state.term < known:
             return
         if state.term > known and state.is_holder:
-            self._leadership.hear_holder(
+            self._leadership.receive_holder(
                 state.term, state.revision, state.address
             )
         if _is_answered_at_once(self._last, state):
-            self.hasten()
+            self.report_soon()
         self._last = state
         self._spoken = clock.now()
         self._limiter.hear(state)
         if not state.is_holder:
-            self._leadership.hear_yield(state.term)
+            self._leadership.receive_yield(state.term)
             return
         self._leadership.hear(state.revision)
         if state.is_detached:
-            self._leadership.hear_detached(state.term)
+            self._leadership.receive_detached(state.term)
         self._heard = clock.now()
         self.instances = max(state.instances, 1)
         self._take_usages(state)
 
-    def take_news(self, news: facts.News) -> None:
+    def apply_placement_update(self, news: facts.PlacementUpdate) -> None:
         """Takes in what is loaded, taken away or coming."""
         if news.term < self._leadership.seen_term:
             return
-        for word in news.words:
+        for word in news.updates:
             self._take_word(word)
         if news.is_whole:
             self._arrivals = {}
@@ -319,7 +319,7 @@
                 backlog.subtract(total.backlog, tracked.unread),
             )
 
-    def _take_word(self, word: facts.Word) -> None:
+    def _take_word(self, word: facts.ItemUpdate) -> None:
         if not word.seconds:
             self._apply_word(word)
             return
@@ -328,7 +328,7 @@
         loop = asyncio.get_running_loop()
         loop.call_later(word.seconds, self._apply_word, word)
 
-    def _apply_word(self, word: facts.Word) -> None:
+    def _apply_word(self, word: facts.ItemUpdate) -> None:
         is_news = self._view.tell(
             word.endpoint, word.model, word.adapter, word.is_held
         )
--- a/src/wayslip/gateway/planner.py
+++ b/src/wayslip/gateway/planner.py
@@ -9,19 +9,19 @@
 from wayslip.decisions import loading
 from wayslip.decisions import manifest as manifest_module
 from wayslip.decisions import rate
-from wayslip.gateway import accounts as accounts_module
 from wayslip.gateway import adapters as adapters_module
-from wayslip.gateway import books as books_module
-from wayslip.gateway import charges
-from wayslip.gateway import chores
+from wayslip.gateway import announcements
+from wayslip.gateway import background
 from wayslip.gateway import configuration
 from wayslip.gateway import facts
 from wayslip.gateway import hub as hub_module
 from wayslip.gateway import leadership as leadership_module
 from wayslip.gateway import loads as loads_module
 from wayslip.gateway import members as members_module
-from wayslip.gateway import ordering as ordering_module
-from wayslip.gateway import telling
+from wayslip.gateway import order_sender as order_sender_module
+from wayslip.gateway import planner_inputs
+from wayslip.gateway import quota_accounts as quota_accounts_module
+from wayslip.gateway import tracked_engines as tracked_engines_module
 from wayslip.gateway import view as view_module
 
 _LOG = logging.getLogger(__name__)
@@ -48,35 +48,39 @@
         holder: configuration.Holder,
         view: view_module.EndpointView,
         leadership: leadership_module.Leadership,
-        ordering: ordering_module.Ordering,
+        order_sender: order_sender_module.OrderSender,
         members: members_module.Members,
-        teller: telling.Teller,
-        accounts: accounts_module.Accounts,
+        announcer: announcements.Announcer,
+        accounts: quota_accounts_module.QuotaAccounts,
     ) -> None:
         self._accounts = accounts
         self._holder = holder
         self._view = view
         self._leadership = leadership
-        self._ordering = ordering
+        self._order_sender = order_sender
         self.members = members
-        self._teller = teller
+        self._announcer = announcer
         self._soon = asyncio.Event()
-        self._chores = chores.Chores("order_series_failed", self._soon.set)
-        self._loads = loads_module.Loads(ordering, teller.tell_all)
+        self._background_tasks = background.BackgroundTasks(
+            "order_series_failed", self._soon.set
+        )
+        self._loads = loads_module.Loads(
+            order_sender, announcer.announce_changes
+        )
         self._adapters = adapters_module.Adapters(
-            ordering,
+            order_sender,
             self.members,
-            self._chores.start,
-            self._teller.tell_all,
-            self._tell_waiting,
-            view.words,
+            self._background_tasks.start,
+            self._announcer.announce_changes,
+            self._notify_waiting,
+            view.notices,
         )
         self._buckets: dict[str, rate.Bucket] = {}
         # Adapters that requests wait for, and until when.
-        self._wishes: dict[adapters_module.Wish, float] = {}
+        self._wishes: dict[adapters_module.LoadRequest, float] = {}
         # Where instances wait for an adapter, and until when.
         self._waiting: dict[
-            adapters_module.Wish, dict[hub_module.Address, float]
+            adapters_module.LoadRequest, dict[hub_module.Address, float]
         ] = {}
         # Loads that the holder before us told of, by endpoint and model.
         self._heard_arrivals: dict[tuple[str, str], float] = {}
@@ -90,22 +94,22 @@
 
     def begin(self) -> None:
         """Starts to plan; claims of the planner before are read first."""
-        self._ordering.books.clear()
+        self._order_sender.tracked_engines.clear()
         self._follow_list()
         self._held = self._find_held()
-        self._ordering.claims.least_token = self._leadership.revision
+        self._order_sender.claims.least_token = self._leadership.revision
         if not self._leadership.follows_another:
-            self._ordering.claims.follow_nobody()
+            self._order_sender.claims.note_no_predecessor()
         self._buckets.clear()
         self._is_prepared = False
         self.members.begin()
         self._accounts.begin()
-        self._chores.start(self._prepare())
+        self._background_tasks.start(self._prepare())
 
     async def _prepare(self) -> None:
         while True:
             try:
-                await self._ordering.claims.read_all()
+                await self._order_sender.claims.read_all()
                 break
             except errors.ObjectError as e:
                 logs.event(
@@ -114,38 +118,46 @@
                 await asyncio.sleep(_PERIOD)
         self._follow_list()
         self._adopt_loads()
-        for name, seen in self._ordering.claims.known.items():
-            book = self._ordering.books.get(name)
-            if book is not None and seen.claim.pending is not None:
-                book.pending = seen.claim.pending
-                self._chores.start(self._loads.settle(book, self._is_within))
+        for name, seen in self._order_sender.claims.known.items():
+            tracked_engine = self._order_sender.tracked_engines.get(name)
+            if tracked_engine is not None and seen.claim.pending is not None:
+                tracked_engine.pending = seen.claim.pending
+                self._background_tasks.start(
+                    self._loads.settle(tracked_engine, self._is_within)
+                )
         self._is_prepared = True
 
     def _adopt_loads(self) -> None:
         now = clock.now()
         for (name, model), at in self._heard_arrivals.items():
-            book = self._ordering.books.get(name)
-            if book is None or at < now or model in book.endpoint.models:
+            tracked_engine = self._order_sender.tracked_engines.get(name)
+            if (
+                tracked_engine is None
+                or at < now
+                or model in tracked_engine.endpoint.models
+            ):
                 continue
-            book.ready_at[model] = at
-            book.task = self._chores.start(
-                self._loads.see_loaded(book, model, at - now)
+            tracked_engine.ready_at[model] = at
+            tracked_engine.task = self._background_tasks.start(
+                self._loads.see_loaded(tracked_engine, model, at - now)
             )
 
-    def _is_within(self, book: books_module.Book) -> bool:
+    def _is_within(
+        self, tracked_engine: tracked_engines_module.TrackedEngine
+    ) -> bool:
         """Whether what an engine holds and may take fits, as configured."""
         manifest = self._holder.manifest
         if manifest is None:
             return False
-        service = manifest.services.get(book.endpoint.service)
+        service = manifest.services.get(tracked_engine.endpoint.service)
         if service is None or service.pool is None:
             return False
-        return charges.is_within(book, service.pool)
+        return planner_inputs.is_within(tracked_engine, service.pool)
 
     def end(self) -> None:
         """Stops giving orders; what was sent stays in the claims."""
         self._is_prepared = False
-        self._chores.cancel()
+        self._background_tasks.cancel()
 
     # Hearing and telling
 
@@ -156,10 +168,12 @@
         elif isinstance(message, facts.Report):
             self.members.take(message, source, self._held)
             self._accounts.take(message)
-        elif isinstance(message, facts.Want):
+        elif isinstance(message, facts.ItemRequest):
             self._take_want(message, source)
 
-    def _take_want(self, want: facts.Want, source: hub_module.Address) -> None:
+    def _take_want(
+        self, want: facts.ItemRequest, source: hub_module.Address
+    ) -> None:
         self.members.meet(want, source)
         if not want.adapter:
             return
@@ -169,8 +183,10 @@
         self._waiting.setdefault(wish, {})[source] = until
         self._soon.set()
 
-    def _tell_waiting(
-        self, wish: adapters_module.Wish, book: books_module.Book
+    def _notify_waiting(
+        self,
+        wish: adapters_module.LoadRequest,
+        tracked_engine: tracked_engines_module.TrackedEngine,
     ) -> None:
         """Tells those who wait for an adapter that an engine loads it.
 
@@ -178,13 +194,13 @@
         s, and a request waits little longer than that.
         """
         waiting = self._waiting.pop(wish, {})
-        self._teller.tell_some(book, wish[1:], list(waiting))
+        self._announcer.announce_to(tracked_engine, wish[1:], list(waiting))
 
     def _take_statement(self, message: facts.Message) -> None:
         """Remembers what a successor of the holder needs."""
         if isinstance(message, facts.State):
             if message.is_detached:
-                self._ordering.claims.keep_away()
+                self._order_sender.claims.start_hold_off()
             return
         if isinstance(message, facts.Handover):
             if message.term < self._leadership.seen_term:
@@ -194,11 +210,11 @@
             if message.peers:
                 self.members.adopt_peers(message.peers)
             for claim in message.claims:
-                self._ordering.claims.hear(claim.endpoint, claim.revision)
-        elif isinstance(message, facts.News):
+                self._order_sender.claims.hear(claim.endpoint, claim.revision)
+        elif isinstance(message, facts.PlacementUpdate):
             self._take_arrivals(message)
 
-    def _take_arrivals(self, news: facts.News) -> None:
+    def _take_arrivals(self, news: facts.PlacementUpdate) -> None:
         now = clock.now()
         if news.is_whole:
             self._heard_arrivals = {}
@@ -210,9 +226,9 @@
     def _find_held(self) -> set[tuple[str, str]]:
         """Returns services with the models that can serve now."""
         return {
-            (book.endpoint.service, model)
-            for book in self._ordering.books.values()
-            for model, adapter in book.usable()
+            (tracked_engine.endpoint.service, model)
+            for tracked_engine in self._order_sender.tracked_engines.values()
+            for model, adapter in tracked_engine.usable()
             if not adapter
         }
 
@@ -233,29 +249,34 @@
             if self._leadership.is_held:
                 self._held = self._find_held()
             may_plan = (
-                self._leadership.is_valid or self._ordering.claims.is_detached()
+                self._leadership.is_valid
+                or self._order_sender.claims.is_detached()
             )
             if may_plan and self._is_prepared:
                 self._plan()
                 self._drop_claims()
 
     def _follow_list(self) -> None:
-        books = self._ordering.books
+        tracked_engines = self._order_sender.tracked_engines
         now = clock.now()
-        for name in [n for n in books if n not in self._view.tracked]:
-            del books[name]
+        for name in [n for n in tracked_engines if n not in self._view.tracked]:
+            del tracked_engines[name]
             self._missing_since[name] = now
         for name, tracked in self._view.tracked.items():
             self._missing_since.pop(name, None)
-            book = books.get(name)
-            if book is None:
-                book = books_module.Book(tracked.endpoint)
-                books[name] = book
-                book.take_entry(tracked.endpoint, now)
-            elif tracked.endpoint.succeeds(book.endpoint):
-                books[name] = book.begin_anew(tracked.endpoint, now)
-            elif book.endpoint is not tracked.endpoint:
-                book.take_entry(tracked.endpoint, now)
+            tracked_engine = tracked_engines.get(name)
+            if tracked_engine is None:
+                tracked_engine = tracked_engines_module.TrackedEngine(
+                    tracked.endpoint
+                )
+                tracked_engines[name] = tracked_engine
+                tracked_engine.take_entry(tracked.endpoint, now)
+            elif tracked.endpoint.succeeds(tracked_engine.endpoint):
+                tracked_engines[name] = tracked_engine.begin_anew(
+                    tracked.endpoint, now
+                )
+            elif tracked_engine.endpoint is not tracked.endpoint:
+                tracked_engine.take_entry(tracked.endpoint, now)
 
     def _drop_claims(self) -> None:
         """Removes the claims of engines that will not come back.
@@ -267,7 +288,7 @@
         old = [n for n, at in self._missing_since.items() if at < limit]
         for name in old:
             del self._missing_since[name]
-            self._chores.start(self._ordering.claims.drop(name))
+            self._background_tasks.start(self._order_sender.claims.drop(name))
 
     def _plan(self) -> None:
         manifest = self._holder.manifest
@@ -285,30 +306,37 @@
             pool = service.pool
             if pool is None:
                 continue
-            books = self._books_of(service.name)
+            tracked_engines = self._books_of(service.name)
             for wish in [w for w in self._wishes if w[0] == service.name]:
-                if self._adapters.wish(wish[0], pool, books, wish[1:]):
+                if self._adapters.wish(
+                    wish[0], pool, tracked_engines, wish[1:]
+                ):
                     del self._wishes[wish]
             while self._plan_one(service.name, pool):
                 pass
-            self._adapters.fill(service.name, pool, books)
+            self._adapters.fill(service.name, pool, tracked_engines)
 
-    def _books_of(self, service: str) -> list[books_module.Book]:
+    def _books_of(
+        self, service: str
+    ) -> list[tracked_engines_module.TrackedEngine]:
         return [
             b
-            for b in self._ordering.books.values()
+            for b in self._order_sender.tracked_engines.values()
             if b.endpoint.service == service and not b.endpoint.is_leaving
         ]
 
     def _plan_one(self, service: str, pool: manifest_module.Pool) -> bool:
         """Starts the load that gains most; returns whether there was one."""
         now = clock.now()
-        books = {b.endpoint.name: b for b in self._books_of(service)}
+        tracked_engines = {b.endpoint.name: b for b in self._books_of(service)}
         found = {
-            n: charges.make_engine(
-                b, pool, self._ordering.claims.may_claim(n), self._view.words
+            n: planner_inputs.make_engine(
+                b,
+                pool,
+                self._order_sender.claims.may_claim(n),
+                self._view.notices,
             )
-            for n, b in books.items()
+            for n, b in tracked_engines.items()
         }
         demand = self.members.find_demand(service, pool)
         bucket = self._buckets.get(service)
@@ -334,8 +362,10 @@
             rate=f"{demand[step.model].rate:.2f}",
             work=f"{demand[step.model].work:.2f}",
         )
-        book = books[step.engine]
+        tracked_engine = tracked_engines[step.engine]
         # At once, so that the next plan counts this copy.
-        book.ready_at[step.model] = now + step.seconds
-        book.task = self._chores.start(self._loads.carry_out(book, step, pool))
+        tracked_engine.ready_at[step.model] = now + step.seconds
+        tracked_engine.task = self._background_tasks.start(
+            self._loads.carry_out(tracked_engine, step, pool)
+        )
         return True
--- /dev/null
+++ b/src/wayslip/gateway/planner_inputs.py
@@ -0,0 +1,90 @@
+"""What an engine's book says to the planner."""
+
+from wayslip import clock
+from wayslip.decisions import copies
+from wayslip.decisions import manifest
+from wayslip.gateway import endpoint_notices as endpoint_notices_module
+from wayslip.gateway import tracked_engines as tracked_engines_module
+
+
+def count_adapters(tracked_engine: tracked_engines_module.TrackedEngine) -> int:
+    """Returns the places for adapters that are or may be taken."""
+    return sum(1 for _, adapter in tracked_engine.charged() if adapter)
+
+
+def sum_charges(
+    tracked_engine: tracked_engines_module.TrackedEngine, pool: manifest.Pool
+) -> tuple[float, dict[str, float]]:
+    """Returns the memory that is or may be taken, and adapters' by model."""
+    total = 0.0
+    adapters: dict[str, float] = {}
+    for model, adapter in tracked_engine.charged():
+        size = pool.weigh(model, adapter)
+        total += size
+        if adapter:
+            adapters[model] = adapters.get(model, 0.0) + size
+    return total, adapters
+
+
+def is_within(
+    tracked_engine: tracked_engines_module.TrackedEngine, pool: manifest.Pool
+) -> bool:
+    """Whether all that is charged fits, an open order included."""
+    total, _ = sum_charges(tracked_engine, pool)
+    has_places = count_adapters(tracked_engine) <= pool.adapter_slots
+    return has_places and total <= pool.weights_mb
+
+
+def is_backing_off(
+    tracked_engine: tracked_engines_module.TrackedEngine, now: float
+) -> bool:
+    """Whether no series of orders is under way and none failed just now."""
+    return (
+        tracked_engine.task is None or tracked_engine.task.done()
+    ) and now >= tracked_engine.rests_until
+
+
+def is_free(
+    tracked_engine: tracked_engines_module.TrackedEngine,
+    may_claim: bool,
+    now: float,
+) -> bool:
+    """Whether an engine can be ordered at once."""
+    return (
+        is_backing_off(tracked_engine, now)
+        and tracked_engine.pending is None
+        and may_claim
+    )
+
+
+def make_engine(
+    tracked_engine: tracked_engines_module.TrackedEngine,
+    pool: manifest.Pool,
+    may_claim: bool,
+    notices: endpoint_notices_module.EndpointNotices,
+) -> copies.Engine:
+    """Returns an engine as the planner sees it."""
+    now = clock.now()
+    endpoint = tracked_engine.endpoint
+    total, adapters = sum_charges(tracked_engine, pool)
+    coming = {
+        m: max(at - now, 0.0) for m, at in tracked_engine.ready_at.items()
+    }
+    held = {m for m, a in tracked_engine.charged() if not a} - set(coming)
+    return copies.Engine(
+        name=endpoint.name,
+        models=frozenset(held),
+        coming=coming,
+        charged_mb=total,
+        adapters_mb=adapters,
+        is_free=is_free(tracked_engine, may_claim, now),
+        fresh=frozenset(
+            m
+            for m, at in tracked_engine.loaded_at.items()
+            if now - at < copies.SETTLE_SECONDS
+        ),
+        in_memory=endpoint.in_memory,
+        on_disk=endpoint.on_disk,
+        limit=notices.find_limit(endpoint.start),
+        rest=notices.find_backoff(endpoint),
+    )
--- a/src/wayslip/gateway/quarantine.py
+++ b/src/wayslip/gateway/quarantine.py
@@ -23,11 +23,11 @@
 from wayslip import metrics as metrics_module
 from wayslip.decisions import fleet
 from wayslip.decisions import suspicion
-from wayslip.gateway import audience as audience_module
-from wayslip.gateway import chores
-from wayslip.gateway import condemned as condemned_module
+from wayslip.gateway import background
+from wayslip.gateway import blocked_contents as blocked_contents_module
 from wayslip.gateway import facts
 from wayslip.gateway import leadership as leadership_module
+from wayslip.gateway import peer_broadcast as peer_broadcast_module
 from wayslip.gateway import store as store_module
 from wayslip.http1 import client
 
@@ -60,7 +60,9 @@
     """Attempts that broke off at one start of an endpoint."""
 
     at: float
-    marks: dict[bytes, suspicion.Mark] = dataclasses.field(default_factory=dict)
+    crash_records: dict[bytes, suspicion.CrashRecord] = dataclasses.field(
+        default_factory=dict
+    )
 
 
 Open = Callable[[tuple[str, int]], Awaitable[client.Connection]]
@@ -73,9 +75,9 @@
         self,
         store: store_module.Store,
         leadership: leadership_module.Leadership,
-        audience: audience_module.Audience,
+        peer_broadcast: peer_broadcast_module.PeerBroadcast,
         metrics: metrics_module.Metrics,
-        witness: str,
+        reporter: str,
         find_pause: Callable[[float], float],
     ) -> None:
         """Initializes without any knowledge.
@@ -83,15 +85,15 @@
         Args:
             store: Where what is condemned is kept.
             leadership: Of the lease.
-            audience: The other instances.
+            peer_broadcast: The other instances.
             metrics: Where ends and contents are counted.
-            witness: The name of this instance.
+            reporter: The name of this instance.
             find_pause: Returns the seconds to wait before an attempt that
                 others make too; given what one instance alone would wait.
         """
-        self._witness = witness
+        self._witness = reporter
         self._leadership = leadership
-        self._audience = audience
+        self._peer_broadcast = peer_broadcast
         self._metrics = metrics
         self._suspicion = suspicion.Suspicion()
         # When condemned contents were last tried here; bounded by those.
@@ -100,8 +102,10 @@
             collections.OrderedDict()
         )
         self._breaks: dict[fleet.Start, _Breaks] = {}
-        self._chores = chores.Chores("quarantine_failed")
-        self._kept = condemned_module.Condemned(store, find_pause, self._learn)
+        self._background_tasks = background.BackgroundTasks("quarantine_failed")
+        self._kept = blocked_contents_module.BlockedContents(
+            store, find_pause, self._learn
+        )
         self._condemned: frozenset[bytes] = frozenset()
         self._told_at = 0.0
 
@@ -115,9 +119,9 @@
         """Returns how deep a content is in suspicion."""
         return self._suspicion.find_depth(content)
 
-    def is_condemned(self, content: bytes) -> bool:
+    def is_blocked(self, content: bytes) -> bool:
         """Whether a content should reach no endpoint."""
-        return self._suspicion.is_condemned(content)
+        return self._suspicion.is_blocked(content)
 
     def begin_trial(self, content: bytes) -> bool:
         """Returns whether a condemned content is to be sent once more now.
@@ -150,8 +154,8 @@
 
     def lift(self, content: bytes, reason: str) -> bool:
         """Clears a content; returns whether it was under suspicion."""
-        marks = self._suspicion.list_marks(content)
-        news = self._suspicion.clear(marks, clock.now())
+        crash_records = self._suspicion.list_crash_records(content)
+        news = self._suspicion.clear(crash_records, clock.now())
         if not news:
             return False
         logs.event(
@@ -165,7 +169,7 @@
         self._tell(facts.Suspects(cleared=tuple(news)))
         return True
 
-    def note_break(
+    def note_broken_attempt(
         self,
         endpoint: fleet.Endpoint,
         content: bytes,
@@ -189,10 +193,12 @@
         if breaks is None:
             breaks = _Breaks(clock.now())
             self._breaks[start] = breaks
-            self._chores.start(self._look(start, endpoint, open_connection))
-        known = breaks.marks.get(content)
+            self._background_tasks.start(
+                self._look(start, endpoint, open_connection)
+            )
+        known = breaks.crash_records.get(content)
         attempts = 0 if content in self._answered else 1
-        breaks.marks[content] = suspicion.Mark(
+        breaks.crash_records[content] = suspicion.CrashRecord(
             content,
             start.endpoint,
             start.born,
@@ -230,7 +236,7 @@
     def _confirm(self, start: fleet.Start) -> None:
         """Takes in that an endpoint ended, and tells everybody."""
         breaks = self._breaks[start]
-        marks = list(breaks.marks.values())
+        crash_records = list(breaks.crash_records.values())
         logs.event(
             _LOG,
             "endpoint_ended",
@@ -238,41 +244,41 @@
             endpoint=start.endpoint,
             born=start.born,
             seconds=f"{clock.now() - breaks.at:.3f}",
-            contents=",".join(m.content.hex()[:8] for m in marks),
+            contents=",".join(m.content.hex()[:8] for m in crash_records),
         )
         self._metrics.count("endpoint_ends")
-        news = self._suspicion.add(marks, clock.now())
+        news = self._suspicion.add(crash_records, clock.now())
         self._note_condemned()
         if news:
             self._tell(facts.Suspects(tuple(news)))
 
     def _note_condemned(self) -> None:
         """Logs what came to be condemned, or is so no longer."""
-        condemned = frozenset(self._suspicion.list_condemned())
+        condemned = frozenset(self._suspicion.list_blocked())
         for content in condemned - self._condemned:
-            marks = self._suspicion.list_marks(content)
+            crash_records = self._suspicion.list_crash_records(content)
             logs.event(
                 _LOG,
                 "content_condemned",
                 logging.WARNING,
                 content=content.hex(),
-                ends=",".join(sorted({m.endpoint for m in marks})),
-                attempts=sum(m.attempts for m in marks),
+                ends=",".join(sorted({m.endpoint for m in crash_records})),
+                attempts=sum(m.attempts for m in crash_records),
                 depth=self._suspicion.find_depth(content),
             )
             self._metrics.count("contents", outcome="condemned")
             if content in self._answered:
-                self._chores.start(self._excuse(content))
+                self._background_tasks.start(self._exempt(content))
         for content in self._condemned - condemned:
             logs.event(_LOG, "content_released", content=content.hex())
             self._metrics.count("contents", outcome="released")
         self._condemned = condemned
         self._tried = {c: t for c, t in self._tried.items() if c in condemned}
 
-    async def _excuse(self, content: bytes) -> None:
+    async def _exempt(self, content: bytes) -> None:
         """Tells that a content was answered here, unless others do."""
         await asyncio.sleep(random.uniform(0, _EXCUSE_SECONDS))
-        news = self._suspicion.excuse((content,), clock.now())
+        news = self._suspicion.exempt((content,), clock.now())
         if news:
             logs.event(_LOG, "content_is_common", content=content.hex())
             self._note_condemned()
@@ -284,14 +290,14 @@
         """Takes in what another instance tells."""
         now = clock.now()
         self._suspicion.clear(told.cleared, now)
-        self._suspicion.excuse(told.common, now)
-        if self._suspicion.add(told.marks, now):
+        self._suspicion.exempt(told.common, now)
+        if self._suspicion.add(told.crash_records, now):
             # As the lease's holder, for those whom the sender does not know.
             self._told_at = 0.0
         self._note_condemned()
 
     def _tell(self, told: facts.Suspects) -> None:
-        self._chores.start(self._repeat(told))
+        self._background_tasks.start(self._repeat(told))
 
     async def _repeat(self, told: facts.Suspects) -> None:
         for pause in _REPEATS:
@@ -299,14 +305,14 @@
             self._spread(told)
 
     def _spread(self, told: facts.Suspects) -> None:
-        most = max(len(told.marks), len(told.cleared), len(told.common))
+        most = max(len(told.crash_records), len(told.cleared), len(told.common))
         for i in range(0, most, _PART):
             part = facts.Suspects(
-                told.marks[i : i + _PART],
+                told.crash_records[i : i + _PART],
                 told.cleared[i : i + _PART],
                 told.common[i : i + _PART],
             )
-            self._audience.spread(part)
+            self._peer_broadcast.spread(part)
 
     def _tell_again(self) -> None:
         """Tells what others may have missed."""
@@ -315,10 +321,12 @@
             return
         self._told_at = now
         contents = self._suspicion.list_open(now - _OPEN_SECONDS)
-        marks = [m for c in contents for m in self._suspicion.list_marks(c)]
+        crash_records = [
+            m for c in contents for m in self._suspicion.list_crash_records(c)
+        ]
         cleared = self._suspicion.list_cleared()[-_PART:]
-        if marks or cleared:
-            self._spread(facts.Suspects(tuple(marks), tuple(cleared)))
+        if crash_records or cleared:
+            self._spread(facts.Suspects(tuple(crash_records), tuple(cleared)))
 
     # The lease's holder
 
@@ -329,7 +337,7 @@
 
     async def run(self) -> None:
         """Forgets, and as the lease's holder tells and keeps, for ever."""
-        self._chores.start(self._kept.read_at_start())
+        self._background_tasks.start(self._kept.read_at_start())
         while True:
             await asyncio.sleep(_STEP_SECONDS)
             if self._suspicion.forget(clock.now()):
@@ -353,28 +361,30 @@
             # Whoever started with us is to hear of it at once.
             self._told_at = 0.0
             self._tell_again()
-        await self._kept.keep(self._condemned, self._suspicion.list_marks)
+        await self._kept.keep(
+            self._condemned, self._suspicion.list_crash_records
+        )
 
-    def _learn(self, marks: Iterable[suspicion.Mark]) -> None:
-        self._suspicion.add(marks, clock.now())
+    def _learn(self, crash_records: Iterable[suspicion.CrashRecord]) -> None:
+        self._suspicion.add(crash_records, clock.now())
         self._note_condemned()
 
     def close(self) -> None:
         """Ends what is still to be told or looked at."""
-        self._chores.cancel()
+        self._background_tasks.cancel()
 
     def dump(self) -> list[dict[str, object]]:
         """Returns the contents that are under suspicion, condemned first."""
         found: list[dict[str, object]] = []
         for content in self._suspicion.list_contents(1):
-            marks = self._suspicion.list_marks(content)
+            crash_records = self._suspicion.list_crash_records(content)
             found.append(
                 {
                     "content": content.hex(),
                     "is_condemned": content in self._condemned,
                     "depth": self._suspicion.find_depth(content),
-                    "ends": sorted({m.endpoint for m in marks}),
-                    "attempts": sum(m.attempts for m in marks),
+                    "ends": sorted({m.endpoint for m in crash_records}),
+                    "attempts": sum(m.attempts for m in crash_records),
                     "seconds_left": round(self.find_left(content), 1),
                 }
             )
--- a/src/wayslip/gateway/accounts.py
+++ b/src/wayslip/gateway/quota_accounts.py
@@ -49,7 +49,7 @@
     rates: demand_module.Rates[str]
 
 
-class Accounts:
+class QuotaAccounts:
     """The lease's holder's accounts of all organisations."""
 
     def __init__(
@@ -63,7 +63,7 @@
         self._limiter = limiter
         self._levels: dict[str, quota_module.Level] = {}
         self._demand: demand_module.Rates[str] = demand_module.Rates(
-            quota_module.FADING
+            quota_module.FADING_SECONDS
         )
         self._members: dict[str, _Member] = {}
         self._settled_at = 0.0
@@ -87,7 +87,7 @@
         now = clock.now()
         member = self._members.get(report.instance)
         if member is None or member.process != report.process:
-            rates = demand_module.Rates[str](quota_module.FADING)
+            rates = demand_module.Rates[str](quota_module.FADING_SECONDS)
             member = _Member(report.process, -1, now, {}, rates)
             self._members[report.instance] = member
         if report.number <= member.number:
--- a/src/wayslip/gateway/records.py
+++ b/src/wayslip/gateway/records.py
@@ -14,7 +14,7 @@
     """A content that reaches no endpoint, and what it is suspected for."""
 
     content: bytes
-    marks: tuple[suspicion.Mark, ...]
+    crash_records: tuple[suspicion.CrashRecord, ...]
 
 
 def _encode_lease(value: lease.Lease) -> Any:
@@ -66,8 +66,8 @@
 def _encode_suspect(value: Suspect) -> Any:
     return {
         "ends": [
-            [m.endpoint, m.born, m.depth, m.witness, m.attempts]
-            for m in value.marks
+            [m.endpoint, m.born, m.depth, m.reporter, m.attempts]
+            for m in value.crash_records
         ]
     }
 
@@ -75,15 +75,15 @@
 def _decode_suspect(name: str, spec: Any) -> Suspect:
     try:
         content = bytes.fromhex(name)
-        marks = tuple(
-            suspicion.Mark(
+        crash_records = tuple(
+            suspicion.CrashRecord(
                 content, str(end), int(born), int(depth), str(name), int(count)
             )
             for end, born, depth, name, count in spec["ends"]
         )
     except (KeyError, TypeError, ValueError) as e:
         raise _malformed(name, e) from e
-    return Suspect(content, marks)
+    return Suspect(content, crash_records)
 
 
 def _malformed(name: str, error: Exception) -> errors.ObjectError:
--- a/src/wayslip/gateway/doubt.py
+++ b/src/wayslip/gateway/renewal_timeout.py
@@ -11,17 +11,17 @@
 _DOUBT_SECONDS = 0.6
 
 
-class Doubt:
+class RenewalTimeout:
     """Runs from the first of the renewals that were not answered.
 
     Attributes:
-        is_grave: Whether none was answered for too long.
+        has_expired: Whether none was answered for too long.
     """
 
     def __init__(self) -> None:
         """Initializes without a doubt."""
         self._timer: asyncio.TimerHandle | None = None
-        self.is_grave = False
+        self.has_expired = False
 
     @property
     def is_any(self) -> bool:
@@ -36,12 +36,12 @@
 
     def worsen(self) -> None:
         """Has the lease yielded, because its renewals are not answered."""
-        self.is_grave = True
+        self.has_expired = True
         logs.event(_LOG, "lease_doubtful", logging.WARNING)
 
     def end(self) -> None:
         """Ends with an answer, or with the lease."""
-        self.is_grave = False
+        self.has_expired = False
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
--- a/src/wayslip/gateway/requests.py
+++ b/src/wayslip/gateway/requests.py
@@ -15,15 +15,15 @@
 from wayslip.decisions import retry
 from wayslip.decisions import urgency
 from wayslip.gateway import attempts
-from wayslip.gateway import choosing
 from wayslip.gateway import configuration
 from wayslip.gateway import dialect as dialect_module
+from wayslip.gateway import endpoint_chooser
 from wayslip.gateway import events
 from wayslip.gateway import jobs
 from wayslip.gateway import limits as limits_module
 from wayslip.gateway import options as options_module
+from wayslip.gateway import permit_broker as permit_broker_module
 from wayslip.gateway import placement as placement_module
-from wayslip.gateway import places as places_module
 from wayslip.gateway import quarantine as quarantine_module
 from wayslip.gateway import view as view_module
 from wayslip.http1 import server
@@ -46,11 +46,11 @@
         view: view_module.EndpointView,
         placement: placement_module.Placement,
         metrics: metrics_module.Metrics,
-        find_sight: Callable[[], access.Sight],
+        find_sight: Callable[[], access.ConfigurationStatus],
         limiter: limits_module.Limiter,
         quarantine: quarantine_module.Quarantine,
-        tell_leaving: Callable[[fleet.Endpoint], None],
-        places: places_module.Places,
+        report_leaving: Callable[[fleet.Endpoint], None],
+        permit_broker: permit_broker_module.PermitBroker,
     ) -> None:
         """Initializes without any request.
 
@@ -64,8 +64,8 @@
             find_sight: Returns what is known of the configuration in force.
             limiter: Of organisations' quotas.
             quarantine: Knows requests that end endpoints.
-            tell_leaving: Is given an endpoint that says it takes no new work.
-            places: At endpoints that name a limit.
+            report_leaving: Is given an endpoint that says it takes no new work.
+            permit_broker: At endpoints that name a limit.
         """
         self._quarantine = quarantine
         self._find_sight = find_sight
@@ -82,14 +82,14 @@
             self._endings,
             metrics,
             quarantine,
-            tell_leaving,
-            places,
+            report_leaving,
+            permit_broker,
         )
-        self._choosing = choosing.Choosing(
+        self._endpoint_chooser = endpoint_chooser.EndpointChooser(
             options,
             view,
             placement,
-            places,
+            permit_broker,
             self._endings,
             metrics,
             self._attempts.pool.has_idle,
@@ -218,7 +218,7 @@
         wait = self._limiter.admit(job.caller, job.units)
         if wait is None:
             if self._limiter.is_report_due:
-                self._placement.hasten()
+                self._placement.report_soon()
             return True
         self._endings.refuse_job(job, "over_quota", wait, 429)
         return False
@@ -232,7 +232,7 @@
         """
         if not self._quarantine:
             return True
-        if not self._quarantine.is_condemned(job.content):
+        if not self._quarantine.is_blocked(job.content):
             return True
         job.is_trial = job.is_trial or self._quarantine.begin_trial(job.content)
         if job.is_trial and not job.progress.attempts:
@@ -265,10 +265,10 @@
                 job.service.name,
                 job.traits,
                 work,
-                choosing.can_wait_for_load(job),
+                endpoint_chooser.can_wait_for_load(job),
             )
         while True:
-            choice = await self._choosing.find(job)
+            choice = await self._endpoint_chooser.find(job)
             if choice is None:
                 return
             if not self._check_key(job) or not self._check_content(job):
@@ -317,7 +317,7 @@
             return True
         wait = None
         if verdict is retry.Verdict.NOT_RUN:
-            wait = self._choosing.find_return(job)
+            wait = self._endpoint_chooser.find_return(job)
         self._endings.answer_verdict(
             job, verdict, wait or jobs.SHORTEST_RETRY_AFTER
         )
--- a/src/wayslip/gateway/currency.py
+++ b/src/wayslip/gateway/staleness.py
@@ -21,7 +21,7 @@
 _FIRST_SECONDS = 1.0
 
 
-class Currency:
+class Staleness:
     """The age of the holder's word of one kind of objects.
 
     Args:
@@ -99,15 +99,15 @@
     @property
     def is_fresh(self) -> bool:
         """Whether the holder's word is enough now."""
-        return self.has_word and not self.is_behind
+        return self.has_recent_update and not self.is_behind
 
     @property
-    def has_word(self) -> bool:
+    def has_recent_update(self) -> bool:
         """Whether this instance follows, and the holder's word is new."""
         age = clock.now() - self._proof
         return not self._leads() and age < self.limit
 
-    async def wait_for_word(self, seconds: float) -> None:
+    async def wait_for_update(self, seconds: float) -> None:
         """Returns when the holder's word is new enough, or after a while.
 
         What it tells of may still be lacking; the store answers again then.
@@ -117,7 +117,7 @@
         led = self._leads()
         try:
             async with asyncio.timeout(seconds):
-                while not self.has_word and self._leads() is led:
+                while not self.has_recent_update and self._leads() is led:
                     self._heard.clear()
                     await self._heard.wait()
         except TimeoutError:
--- a/src/wayslip/gateway/store.py
+++ b/src/wayslip/gateway/store.py
@@ -145,14 +145,14 @@
         self,
         kind: Kind[T],
         stored: Stored[T],
-        patience: float | None = None,
+        max_wait: float | None = None,
     ) -> Stored[T]:
         """Replaces an object if it still has the revision it was read at.
 
         Args:
             kind: Of the object.
             stored: Its name, the revision it was read at, the new value.
-            patience: Seconds to wait for the answer; the usual ones if None.
+            max_wait: Seconds to wait for the answer; the usual ones if None.
 
         Raises:
             ObjectConflictError: It has another one; nothing was written.
--- a/src/wayslip/gateway/books.py
+++ b/src/wayslip/gateway/tracked_engines.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass
-class Book:
+class TrackedEngine:
     """What the lease's holder knows of one engine.
 
     Room is worked out from the inventory alone. Entries of the list may be
@@ -45,7 +45,7 @@
         adapter_at: When adapters were loaded for a request.
         rests_until: When it may be planned for again after a failure.
         pending: The order whose effect is not known yet.
-        stray: An order that was given up on. It may still arrive, and is
+        abandoned: An order that was given up on. It may still arrive, and is
             charged until the engine's count has passed it.
         unanswered: Orders whose answer did not come, and when they were sent.
         inherited: Those of an earlier start of the engine, and until when they
@@ -70,7 +70,7 @@
     adapter_at: dict[Item, float] = dataclasses.field(default_factory=dict)
     rests_until: float = 0.0
     pending: lease.Pending | None = None
-    stray: lease.Pending | None = None
+    abandoned: lease.Pending | None = None
     unanswered: list[tuple[lease.Pending, float]] = dataclasses.field(
         default_factory=list
     )
@@ -89,7 +89,7 @@
         late = [order for order, _ in self.inherited]
         return items | {
             (order.model, order.adapter)
-            for order in (self.pending, self.stray, *late)
+            for order in (self.pending, self.abandoned, *late)
             if order is not None and order.action is lease.Action.LOAD
         }
 
@@ -177,7 +177,9 @@
         self.unanswered = [(o, at) for o, at in self.unanswered if at > limit]
         self.unanswered.append((order, now))
 
-    def begin_anew(self, endpoint: fleet.Endpoint, now: float) -> "Book":
+    def begin_anew(
+        self, endpoint: fleet.Endpoint, now: float
+    ) -> "TrackedEngine":
         """Returns the book of the engine's next start.
 
         It holds nothing and counts from zero, so an order for the start before
@@ -186,12 +188,12 @@
         late = [(o, at + _LATE_MOST) for o, at in self.unanswered]
         if self.pending is not None:
             late.append((self.pending, now + _LATE_MOST))
-        if self.stray is not None:
-            late.append((self.stray, now + _LATE_MOST))
+        if self.abandoned is not None:
+            late.append((self.abandoned, now + _LATE_MOST))
         late += self.inherited
-        book = Book(endpoint, inherited=tuple(late))
-        book.take_entry(endpoint, now)
-        return book
+        tracked_engine = TrackedEngine(endpoint, inherited=tuple(late))
+        tracked_engine.take_entry(endpoint, now)
+        return tracked_engine
 
     # What follows on an order
 
@@ -250,8 +252,8 @@
             self.is_certain = False
 
     def _pass_stray(self, count: int) -> None:
-        if self.stray is not None and count > self.stray.orders:
-            self.stray = None
+        if self.abandoned is not None and count > self.abandoned.orders:
+            self.abandoned = None
 
     def _withdraw(self, item: Item) -> None:
         model, adapter = item
@@ -296,6 +298,6 @@
             "charged": sorted(self.charged()),
             "withdrawn": sorted(self.withdrawn),
             "pending": self.pending,
-            "stray": self.stray,
+            "stray": self.abandoned,
             "inherited": [order for order, _ in self.inherited],
         }
--- a/src/wayslip/gateway/view.py
+++ b/src/wayslip/gateway/view.py
@@ -18,8 +18,8 @@
 from wayslip.decisions import reading
 from wayslip.decisions import selection
 from wayslip.gateway import dialect
+from wayslip.gateway import endpoint_notices as endpoint_notices_module
 from wayslip.gateway import prefixes
-from wayslip.gateway import words as words_module
 
 _LOG = logging.getLogger(__name__)
 # How long word of an order goes before the engine's entry, seconds: two
@@ -82,7 +82,7 @@
         self._data_hall = data_hall
         self.tracked: dict[str, Tracked] = {}
         self._by_service: dict[str, dict[str, Tracked]] = {}
-        self.words = words_module.Words()
+        self.notices = endpoint_notices_module.EndpointNotices()
         self.prefixes = prefixes.PrefixTable()
         self.reading = reading.ReadingRates()
         # Word of orders: (endpoint, model, adapter) to (is held, until).
@@ -94,8 +94,8 @@
         """Takes in an endpoint's entry, unless a newer one is known."""
         if endpoint.is_leaving:
             # The list may come back from a copy that does not say so yet.
-            self.words.note_leaving(endpoint.start)
-        elif self.words.is_leaving(endpoint):
+            self.notices.note_leaving(endpoint.start)
+        elif self.notices.is_leaving(endpoint):
             # Written before it said so, or by one that did not hear.
             endpoint = dataclasses.replace(endpoint, is_leaving=True)
         tracked = self.tracked.get(endpoint.name)
@@ -138,7 +138,7 @@
         Returns:
             Whether it was news.
         """
-        if not self.words.note_leaving(start):
+        if not self.notices.note_leaving(start):
             return False
         logs.event(
             _LOG,
@@ -239,7 +239,7 @@
             for t in self.of_service(service)
             if t.endpoint.name not in besides
             and self._may_serve(t.endpoint, traits)
-            and not self.words.find_pause(t.endpoint)
+            and not self.notices.find_pause(t.endpoint)
         ]
         usual = min((t.condition.failing(now) for t in found), default=0.0)
         return [
@@ -261,23 +261,23 @@
             return False
         return self.holds(endpoint, traits.model, traits.adapter)
 
-    def note_rest(self, use: Use, seconds: float) -> None:
+    def note_backoff(self, use: Use, seconds: float) -> None:
         """Notes that an endpoint asked for rest.
 
         That is a bound and no preference: it turns away what comes meanwhile.
         """
         endpoint = use.tracked.endpoint
-        self.words.note_rest(endpoint, seconds)
+        self.notices.note_backoff(endpoint, seconds)
         logs.event(
             _LOG,
             "endpoint_rests",
             endpoint=endpoint.name,
             born=endpoint.born,
             seconds=f"{seconds:.2f}",
-            left=f"{self.words.find_rest(endpoint):.2f}",
+            left=f"{self.notices.find_backoff(endpoint):.2f}",
         )
 
-    def find_rest(
+    def find_backoff(
         self, service: str, traits: dialect.Traits, besides: frozenset[str]
     ) -> float | None:
         """Returns the seconds until one that can serve a request may take it.
@@ -286,7 +286,7 @@
             0 if one may now, None if none can serve it.
         """
         rests = (
-            self.words.find_pause(t.endpoint)
+            self.notices.find_pause(t.endpoint)
             for t in self.of_service(service)
             if t.endpoint.name not in besides
             and self._may_serve(t.endpoint, traits)
@@ -300,7 +300,7 @@
             None if one of them names no limit, or if there is none.
         """
         limits = [
-            self.words.find_limit(t.endpoint.start)
+            self.notices.find_limit(t.endpoint.start)
             for t in self.of_service(service)
             if self._may_serve(t.endpoint, traits)
         ]
@@ -331,9 +331,9 @@
             memory=memory,
             failures=tracked.condition.failing(now) - usual,
             is_near=endpoint.data_hall == self._data_hall,
-            is_suspended=tracked.condition.is_resting(now)
+            is_suspended=tracked.condition.is_backing_off(now)
             or _is_silent(tracked, now),
-            is_limited=self.words.find_limit(endpoint.start) is not None,
+            is_limited=self.notices.find_limit(endpoint.start) is not None,
         )
 
     # What this instance does
--- a/src/wayslip/gateway/watching.py
+++ b/src/wayslip/gateway/watcher.py
@@ -16,7 +16,7 @@
 from wayslip import errors
 from wayslip import logs
 from wayslip import metrics as metrics_module
-from wayslip.gateway import currency as currency_module
+from wayslip.gateway import staleness as staleness_module
 from wayslip.gateway import store as store_module
 
 _LOG = logging.getLogger(__name__)
@@ -44,7 +44,7 @@
     Args:
         store: Where to read.
         kind: What to follow.
-        currency: Says when reading is needed.
+        staleness: Says when reading is needed.
         take_list: Is given every whole list.
         take_changes: Is given changes.
         wait: How long a watch waits, seconds; see `Bounds.watch`.
@@ -71,7 +71,7 @@
         self,
         store: store_module.Store,
         kind: store_module.Kind[T],
-        currency: currency_module.Currency,
+        staleness: staleness_module.Staleness,
         take_list: Callable[[store_module.Listing[T]], None],
         take_changes: Callable[[store_module.Changes[T]], None],
         wait: float,
@@ -85,7 +85,7 @@
     ) -> None:
         self._store = store
         self._kind = kind
-        self.currency = currency
+        self.staleness = staleness
         self._take_list = take_list
         self._take_changes = take_changes
         self._wait = wait
@@ -111,21 +111,21 @@
     @property
     def is_current(self) -> bool:
         """Whether what was taken in is known to be all there is."""
-        if self.currency.leads:
-            return self.age < self.currency.limit
-        return self.currency.is_fresh
+        if self.staleness.leads:
+            return self.age < self.staleness.limit
+        return self.staleness.is_fresh
 
     async def run(self) -> None:
         """Follows until it is cancelled."""
         pause = _RETRY_SECONDS
         while True:
-            if self.currency.has_word and self.currency.is_behind:
-                await self.currency.ask_others()
-            if self.currency.is_fresh:
+            if self.staleness.has_recent_update and self.staleness.is_behind:
+                await self.staleness.ask_others()
+            if self.staleness.is_fresh:
                 # Another instance reaches the store for us.
                 self._regain()
                 self._must_list |= self._lists_anew
-                await self.currency.wait_until_needed()
+                await self.staleness.wait_until_needed()
             try:
                 await self._read()
                 self._regain()
@@ -147,13 +147,13 @@
         began = clock.now()
         draw = random.uniform(0.7, 1.0)
         await asyncio.sleep(pause * draw)
-        while not (self.currency.leads or self.currency.has_word):
+        while not (self.staleness.leads or self.staleness.has_recent_update):
             # Looked up again, since the holder may have fallen silent.
             end = began + self._find_pause(pause) * draw
             left = end - clock.now()
             if left < _TICK_SECONDS:
                 return
-            await self.currency.wait_for_word(min(left, pause))
+            await self.staleness.wait_for_update(min(left, pause))
 
     async def look(self) -> None:
         """Reads the newest now, whatever was heard of it.
@@ -173,14 +173,14 @@
         if self.revision is not None and not self._must_list:
             seen_at = await self._watch(self.revision)
         elif self._may_be_stale():
-            if self.currency.is_behind:
+            if self.staleness.is_behind:
                 self._read_stale_at = clock.now()
             await self._list(True)
-            self.currency.note_stale_read()
+            self.staleness.note_stale_read()
             return
         else:
             seen_at = await self._list(False)
-        self.currency.note_read(seen_at)
+        self.staleness.note_read(seen_at)
         self.seen_at = seen_at
 
     def _may_be_stale(self) -> bool:
@@ -192,9 +192,9 @@
         miss a change, 10 and 2 lists at most are then asked for the newest
         instead of 62 and 29.
         """
-        if self.currency.leads:
+        if self.staleness.leads:
             return False
-        lacks_content = self.currency.is_behind or self.revision is None
+        lacks_content = self.staleness.is_behind or self.revision is None
         age = clock.now() - self._read_stale_at
         return lacks_content and age > _STALE_SECONDS
 
@@ -215,7 +215,7 @@
     async def _watch(self, revision: int) -> float:
         """Takes changes in; returns the time up to which they are complete."""
         # Only who leads waits for changes; the others look now and then.
-        wait = self._wait if self.currency.leads else _LOOK_SECONDS
+        wait = self._wait if self.staleness.leads else _LOOK_SECONDS
         changes = await self._store.watch(self._kind, revision, wait)
         for change in changes.items:
             self._refused.pop(change.name, None)
--- a/src/wayslip/http1/whole.py
+++ b/src/wayslip/http1/whole.py
@@ -33,13 +33,13 @@
         self.told_at = 0.0
 
     async def read(
-        self, connection: client.Connection, patience: asyncio.Timeout
+        self, connection: client.Connection, max_wait: asyncio.Timeout
     ) -> tuple[messages.Head, bytes]:
         """Returns the head and the whole body.
 
         Args:
             connection: On which the request was sent.
-            patience: Ends the wait for the head; it is set on with every part.
+            max_wait: Ends the wait for the head; it is set on with every part.
 
         Raises:
             EndpointUnclearError: The answer broke off, or is garbage.
@@ -47,14 +47,14 @@
         head = await connection.read_head()
         self.told_at = clock.now()
         parts = []
-        self._extend(patience)
+        self._extend(max_wait)
         while part := await connection.read():
             parts.append(part)
             self.received += len(part)
-            self._extend(patience)
+            self._extend(max_wait)
         return head, b"".join(parts)
 
-    def _extend(self, patience: asyncio.Timeout) -> None:
+    def _extend(self, max_wait: asyncio.Timeout) -> None:
         left = max(self.told_at + self._most - clock.now(), 0.0)
         now = asyncio.get_running_loop().time()
-        patience.reschedule(now + min(self._stall, left))
+        max_wait.reschedule(now + min(self._stall, left))
