--- a/src/wayslip/platform/store.py
+++ b/src/wayslip/platform/store.py
@@ -209,7 +209,7 @@
         self,
         kind: store.Kind[T],
         stored: store.Stored[T],
-        patience: float | None = None,
+        max_wait: float | None = None,
     ) -> store.Stored[T]:
         """Replaces an object if it still has the revision it was read at."""
         self._check_condition(stored.name, stored.revision, self.era)
@@ -219,7 +219,7 @@
         name = urllib.parse.quote(stored.name, safe="")
         path = f"{_PREFIX}{kind.name}/{name}"
         answer = await self._write(
-            kind, stored.name, "PUT", path, content, patience
+            kind, stored.name, "PUT", path, content, max_wait
         )
         # What was written over may have been another writer's by then.
         self._check_condition(stored.name, stored.revision, answer.era)
@@ -266,10 +266,10 @@
         method: str,
         path: str,
         content: Any,
-        patience: float | None = None,
+        max_wait: float | None = None,
     ) -> _Answer:
         answer = await self._write_line(kind, name).call(
-            method, path, content, patience or _CALL_SECONDS
+            method, path, content, max_wait or _CALL_SECONDS
         )
         if answer.status in (404, 409):
             raise errors.ObjectConflictError(
@@ -329,9 +329,9 @@
             try:
                 if not self._is_open:
                     seconds += _CONNECT_SECONDS
-                async with asyncio.timeout(seconds) as patience:
+                async with asyncio.timeout(seconds) as max_wait:
                     answer = await self._exchange(
-                        method, path, content, reader, patience
+                        method, path, content, reader, max_wait
                     )
                 is_done = True
                 return answer
@@ -353,7 +353,7 @@
         path: str,
         content: Any,
         reader: whole.WholeReader,
-        patience: asyncio.Timeout,
+        max_wait: asyncio.Timeout,
     ) -> _Answer:
         asked_at = clock.now()
         connection = self._connection
@@ -364,7 +364,7 @@
         connection.send(
             _format(self._address, method, path, content), lambda head: True
         )
-        head, data = await reader.read(connection, patience)
+        head, data = await reader.read(connection, max_wait)
         era = self._read_era(head)
         body = read_json(data) if data else {}
         return _Answer(head.status, body, asked_at, reader.told_at, era)
--- a/tests/decisions/test_access.py
+++ b/tests/decisions/test_access.py
@@ -6,7 +6,7 @@
 
 KEY = organisations.hash_key(b"k1")
 SHOP = organisations.Organisation("shop", (KEY,))
-SURE = access.Sight(True, True)
+SURE = access.ConfigurationStatus(True, True)
 
 
 def make_route(is_public=False):
@@ -31,33 +31,51 @@
     ("key", "is_public", "sight", "verdict", "caller"),
     [
         (KEY, False, SURE, access.Verdict.ALLOWED, SHOP),
-        (KEY, False, access.Sight(True, False), access.Verdict.ALLOWED, SHOP),
+        (
+            KEY,
+            False,
+            access.ConfigurationStatus(True, False),
+            access.Verdict.ALLOWED,
+            SHOP,
+        ),
         (None, False, SURE, access.Verdict.UNKNOWN_KEY, None),
         (b"other", False, SURE, access.Verdict.UNKNOWN_KEY, None),
         (
             b"other",
             False,
-            access.Sight(True, False),
+            access.ConfigurationStatus(True, False),
             access.Verdict.OLD_CONFIGURATION,
             None,
         ),
         (
             KEY,
             False,
-            access.Sight(False, False),
+            access.ConfigurationStatus(False, False),
             access.Verdict.UNCONFIRMED,
             None,
         ),
         (
             b"other",
             False,
-            access.Sight(False, True),
+            access.ConfigurationStatus(False, True),
             access.Verdict.UNCONFIRMED,
             None,
         ),
-        (None, True, access.Sight(False, False), access.Verdict.ALLOWED, None),
+        (
+            None,
+            True,
+            access.ConfigurationStatus(False, False),
+            access.Verdict.ALLOWED,
+            None,
+        ),
         (KEY, True, SURE, access.Verdict.ALLOWED, SHOP),
-        (KEY, True, access.Sight(False, True), access.Verdict.ALLOWED, None),
+        (
+            KEY,
+            True,
+            access.ConfigurationStatus(False, True),
+            access.Verdict.ALLOWED,
+            None,
+        ),
     ],
 )
 def test_key_is_judged(key, is_public, sight, verdict, caller):
@@ -67,6 +85,9 @@
 
 def test_without_organisations_nobody_needs_a_key():
     found = access.judge(
-        make_manifest(), make_route(), None, access.Sight(False, False)
+        make_manifest(),
+        make_route(),
+        None,
+        access.ConfigurationStatus(False, False),
     )
     assert found == (access.Verdict.ALLOWED, None)
--- a/tests/decisions/test_sourcing.py
+++ b/tests/decisions/test_copy_sources.py
@@ -2,7 +2,7 @@
 
 import random
 
-from wayslip.decisions import sourcing
+from wayslip.decisions import copy_sources
 
 _PEERS = [f"10.0.0.{n}:1" for n in range(400)]
 
@@ -12,7 +12,7 @@
     rng = random.Random(3)
     holder = _PEERS[0]
     found = [
-        sourcing.choose_source(holder, _PEERS[:count], rng)
+        copy_sources.choose_source(holder, _PEERS[:count], rng)
         for _ in range(count)
     ]
     return found.count(holder)
@@ -26,14 +26,14 @@
 
 def test_without_a_holder_or_peers():
     rng = random.Random(1)
-    assert sourcing.choose_source(None, [], rng) is None
-    assert sourcing.choose_source("a:1", [], rng) == "a:1"
-    assert sourcing.choose_source("a:1", ["a:1"], rng) == "a:1"
-    assert sourcing.choose_source(None, ["b:1"], rng) == "b:1"
+    assert copy_sources.choose_source(None, [], rng) is None
+    assert copy_sources.choose_source("a:1", [], rng) == "a:1"
+    assert copy_sources.choose_source("a:1", ["a:1"], rng) == "a:1"
+    assert copy_sources.choose_source(None, ["b:1"], rng) == "b:1"
 
 
 def test_copies_leave_half_of_the_link():
-    free_at = sourcing.plan_sending(0.0, 10.0, 50_000, 1_000_000.0)
+    free_at = copy_sources.plan_sending(0.0, 10.0, 50_000, 1_000_000.0)
     assert free_at == 10.1
 
 
@@ -42,7 +42,7 @@
     free_at = 0.0
     while free_at is not None:
         times.append(free_at)
-        free_at = sourcing.plan_sending(free_at, 10.0, 130_000, 625_000.0)
+        free_at = copy_sources.plan_sending(free_at, 10.0, 130_000, 625_000.0)
     # One of 0.13 MB takes 0.42 s of half a link of 5 Mbit/s.
     assert len(times) == 2
-    assert sourcing.plan_sending(times[-1], 10.2, 1, 1.0) is not None
+    assert copy_sources.plan_sending(times[-1], 10.2, 1, 1.0) is not None
--- a/tests/decisions/test_detachment.py
+++ b/tests/decisions/test_detachment.py
@@ -7,11 +7,11 @@
 
 
 def cut(echoed_at=9.9):
-    return detachment.Word(echoed_at, True)
+    return detachment.PeerStatus(echoed_at, True)
 
 
 def reaching(echoed_at=9.9):
-    return detachment.Word(echoed_at, False)
+    return detachment.PeerStatus(echoed_at, False)
 
 
 def test_it_is_proposed_when_all_are_cut_off():
@@ -30,7 +30,7 @@
 
 def test_every_word_must_be_fresh():
     proposed = detachment.Detachment(5.0, True)
-    old = 10.0 - detachment.ECHO - 0.01
+    old = 10.0 - detachment.ECHO_SECONDS - 0.01
     answer = proposed.judge([cut(), cut(old)], False, 10.0)
     assert answer == detachment.Detachment(5.0, False)
 
@@ -77,7 +77,7 @@
 def test_no_order_of_the_holder_comes_after_others_stop_keeping_away():
     # Heard at 0 at the earliest, the last word of ours counts until ECHO.
     granted = detachment.Detachment(0.0, True)
-    assert granted.judge([cut(0.0)], False, detachment.ECHO).is_granted
-    late = detachment.ECHO + 0.01
+    assert granted.judge([cut(0.0)], False, detachment.ECHO_SECONDS).is_granted
+    late = detachment.ECHO_SECONDS + 0.01
     assert not granted.judge([cut(0.0)], False, late).is_granted
-    assert late < detachment.HOLD_OFF
+    assert late < detachment.HOLD_OFF_SECONDS
--- a/tests/decisions/test_lease.py
+++ b/tests/decisions/test_lease.py
@@ -4,7 +4,9 @@
 
 
 def seen(holder, token, revision=5, since=0.0):
-    return lease.SeenClaim(lease.Claim("e1", holder, token), revision, since)
+    return lease.ObservedClaim(
+        lease.Claim("e1", holder, token), revision, since
+    )
 
 
 def test_first_claim_begins_at_the_revision_of_the_lease():
@@ -37,7 +39,7 @@
 
 def test_engine_of_another_holder_rests_for_the_distance():
     distance = 3.0
-    rest = lease.SEND_LIMIT + distance + lease.TRAVEL
+    rest = lease.SEND_LIMIT_SECONDS + distance + lease.TRAVEL_SECONDS
     other = seen("g1", 7, since=100.0)
     assert not lease.may_claim(other, "g2", distance, 100.0 + rest - 0.01)
     assert lease.may_claim(other, "g2", distance, 100.1 + rest)
@@ -50,18 +52,20 @@
 
 def test_lease_is_taken_after_it_stood_unchanged():
     value = lease.Lease("g1", "a", 1)
-    sight = lease.see(None, value, 10, now=50.0)
-    again = lease.see(sight, value, 10, now=51.0)
+    sight = lease.observe_lease(None, value, 10, now=50.0)
+    again = lease.observe_lease(sight, value, 10, now=51.0)
     assert again.since == 50.0
-    assert not lease.may_take(again, "g2", 50.0 + lease.EXPIRY - 0.1)
-    assert lease.may_take(again, "g2", 50.0 + lease.EXPIRY)
-    renewed = lease.see(again, value.renew(), 11, now=51.0)
-    assert not lease.may_take(renewed, "g2", 50.0 + lease.EXPIRY)
+    assert not lease.may_take(again, "g2", 50.0 + lease.EXPIRY_SECONDS - 0.1)
+    assert lease.may_take(again, "g2", 50.0 + lease.EXPIRY_SECONDS)
+    renewed = lease.observe_lease(again, value.renew(), 11, now=51.0)
+    assert not lease.may_take(renewed, "g2", 50.0 + lease.EXPIRY_SECONDS)
 
 
 def test_lease_is_taken_at_once_if_it_is_free():
     assert lease.may_take(
-        lease.Sight(lease.Lease("g1", "a", 1).release(), 10, 50.0), "g2", 50.0
+        lease.ObservedLease(lease.Lease("g1", "a", 1).release(), 10, 50.0),
+        "g2",
+        50.0,
     )
-    own = lease.Sight(lease.Lease("g1", "a", 1), 10, 50.0)
+    own = lease.ObservedLease(lease.Lease("g1", "a", 1), 10, 50.0)
     assert lease.may_take(own, "g1", 50.0)
--- a/tests/decisions/test_loading.py
+++ b/tests/decisions/test_loading.py
@@ -70,7 +70,7 @@
     engine = make_engine("e1", "a", "b")
     rare = {"a": asked(2), "c": asked(0.05)}
     assert plan([engine], pool, rare) is None
-    refused = dataclasses.replace(rare["c"], owed=4.0)
+    refused = dataclasses.replace(rare["c"], unserved=4.0)
     assert plan([engine], pool, {**rare, "c": refused}).model == "c"
 
 
@@ -175,10 +175,10 @@
     # again when the next one came (hbmaa trouble-1: 4 of 27 never served).
     pool = make_pool("a", "b", "c")
     engine = make_engine("e1", "a", "b")
-    wanted = {"a": asked(2), "c": copies.Demand(0.2, owed=4.0)}
+    wanted = {"a": asked(2), "c": copies.Demand(0.2, unserved=4.0)}
     assert plan([engine], pool, wanted).victims == ("b",)
-    owed = {**wanted, "b": copies.Demand(0.05, owed=6.0)}
-    assert plan([engine], pool, owed) is None
+    unserved = {**wanted, "b": copies.Demand(0.05, unserved=6.0)}
+    assert plan([engine], pool, unserved) is None
 
 
 def test_some_engine_stays_free_for_demand_that_moves():
@@ -258,7 +258,7 @@
     world = copies.World(engines, pool, demand)
     gains = {}
     for name in demand:
-        model, want = pool.models[name], world.find_want(name)
+        model, want = pool.models[name], world.find_copy_value(name)
         for engine in world.list_free(model.weights_mb):
             room = world.find_room(engine, model.weights_mb)
             step = loading._plan_on(
--- a/tests/decisions/test_places.py
+++ b/tests/decisions/test_permits.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from wayslip.decisions import places
+from wayslip.decisions import permits
 
 
-def take_all(account, times, patience=0.0):
+def take_all(account, times, max_wait=0.0):
     """Takes a place at each time; returns when those granted are used."""
     used = []
     for now in times:
-        account, verdict = account.take(patience, now)
+        account, verdict = account.take(max_wait, now)
         if verdict.is_granted:
             used.append(now + verdict.wait)
     return used
@@ -20,56 +20,56 @@
 
 
 @pytest.mark.parametrize("rate", [0.3, 1.0, 1.1, 7.0])
-@pytest.mark.parametrize("patience", [0.0, 0.4, 5.0])
+@pytest.mark.parametrize("max_wait", [0.0, 0.4, 5.0])
 def test_no_window_holds_more_than_the_limit_and_what_is_saved_up(
-    rate, patience
+    rate, max_wait
 ):
-    account = places.Account.begin(rate, 0.0)
-    used = take_all(account, every(0.01, 40.0), patience)
+    account = permits.PermitBucket.begin(rate, 0.0)
+    used = take_all(account, every(0.01, 40.0), max_wait)
     for at in used:
         came = sum(at <= one < at + 4.0 for one in used)
-        assert came <= rate * 4.0 + places.BURST + 1e-6
+        assert came <= rate * 4.0 + permits.BURST + 1e-6
     assert len(used) >= rate * 40.0 - 1
 
 
 def test_first_place_is_given_once_it_is_earned():
-    account = places.Account.begin(2.0, 0.0)
+    account = permits.PermitBucket.begin(2.0, 0.0)
     assert take_all(account, [0.0, 0.49, 0.51]) == [0.51]
 
 
 def test_refusal_tells_when_a_place_is_free():
-    account, verdict = places.Account.begin(0.5, 0.0).take(0.0, 1.0)
-    assert verdict == places.Verdict(False, pytest.approx(1.0))
+    account, verdict = permits.PermitBucket.begin(0.5, 0.0).take(0.0, 1.0)
+    assert verdict == permits.Verdict(False, pytest.approx(1.0))
     _, verdict = account.take(0.0, 2.0)
     assert verdict.is_granted
 
 
 def test_places_are_promised_for_a_moment_ahead_only():
-    account = places.Account.begin(10.0, 0.0)
+    account = permits.PermitBucket.begin(10.0, 0.0)
     used = take_all(account, [0.0] * 30, 60.0)
     assert len(used) == 10
-    assert max(used) <= places.PROMISE_SECONDS
+    assert max(used) <= permits.PROMISE_SECONDS
 
 
 def test_next_place_is_promised_however_late_it_is():
-    used = take_all(places.Account.begin(0.2, 0.0), [0.0] * 3, 60.0)
+    used = take_all(permits.PermitBucket.begin(0.2, 0.0), [0.0] * 3, 60.0)
     assert used == [pytest.approx(5.0)]
 
 
 def test_new_rate_counts_from_its_change_on():
-    account = places.Account.begin(1.0, 0.0).change_rate(0.1, 0.5)
+    account = permits.PermitBucket.begin(1.0, 0.0).change_rate(0.1, 0.5)
     assert take_all(account, [5.4, 5.6]) == [5.6]
 
 
 def test_endpoint_that_wants_nothing_is_asked_now_and_then():
-    account = places.Account.begin(0.0, 0.0)
+    account = permits.PermitBucket.begin(0.0, 0.0)
     assert len(take_all(account, every(0.1, 60.0))) == pytest.approx(6, abs=1)
 
 
 @pytest.mark.parametrize("instances", [1, 2, 3, 9, 60, 300])
 def test_parts_of_those_who_hear_nobody_are_the_limit_together(instances):
     draws = [(n + 0.5) / instances for n in range(instances)]
-    parts = [places.find_part(1.0, instances, draw) for draw in draws]
+    parts = [permits.find_part(1.0, instances, draw) for draw in draws]
     given = [part for part in parts if part is not None]
     assert sum(given) == pytest.approx(1.0)
-    assert len(given) <= places.UNHEARD_MOST
+    assert len(given) <= permits.UNHEARD_MOST
--- a/tests/decisions/test_position.py
+++ b/tests/decisions/test_position.py
@@ -41,13 +41,13 @@
 
 
 def test_claim_of_a_copy_does_not_replace_a_later_one():
-    known = lease.SeenClaim(claim(9), position.make(1, 50), 3.0)
-    seen = lease.see_claim(known, claim(4, "g2"), position.make(2, 20), 8.0)
-    assert seen == lease.SeenClaim(claim(9), position.make(2, 20), 3.0)
+    known = lease.ObservedClaim(claim(9), position.make(1, 50), 3.0)
+    seen = lease.observe_claim(known, claim(4, "g2"), position.make(2, 20), 8.0)
+    assert seen == lease.ObservedClaim(claim(9), position.make(2, 20), 3.0)
 
 
 def test_claim_that_was_written_after_the_return_counts_from_then():
-    known = lease.SeenClaim(claim(9), position.make(1, 50), 3.0)
+    known = lease.ObservedClaim(claim(9), position.make(1, 50), 3.0)
     late = claim(position.make(2, 15), "g2")
-    seen = lease.see_claim(known, late, position.make(2, 20), 8.0)
-    assert seen == lease.SeenClaim(late, position.make(2, 20), 8.0)
+    seen = lease.observe_claim(known, late, position.make(2, 20), 8.0)
+    assert seen == lease.ObservedClaim(late, position.make(2, 20), 8.0)
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -57,7 +57,7 @@
     state = state.miss(11.0)
     assert state.rests_until - 11.0 == 2 * first
     state = state.note(False, 12.0)
-    assert not state.is_resting(12.0)
+    assert not state.is_backing_off(12.0)
 
 
 def test_condition_fades_so_that_an_endpoint_is_tried_again():
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -6,92 +6,96 @@
 DEADLY, OTHER, THIRD = b"deadly", b"other", b"third"
 
 
-def mark(content, endpoint, depth=0, born=0, witness="g1", attempts=1):
-    return suspicion.Mark(content, endpoint, born, depth, witness, attempts)
+def mark(content, endpoint, depth=0, born=0, reporter="g1", attempts=1):
+    return suspicion.CrashRecord(
+        content, endpoint, born, depth, reporter, attempts
+    )
 
 
-def judge(*marks, cleared=()):
+def judge(*crash_records, cleared=()):
     found = suspicion.Suspicion()
-    found.add(marks, 0.0)
+    found.add(crash_records, 0.0)
     found.clear(cleared, 0.0)
     return found
 
 
 def test_first_end_condemns_nobody():
     found = judge(mark(DEADLY, "e1"), mark(OTHER, "e1"))
-    assert found.list_condemned() == []
+    assert found.list_blocked() == []
 
 
 def test_content_that_was_tried_again_alone_is_condemned():
     found = judge(
         mark(DEADLY, "e1"), mark(OTHER, "e1"), mark(DEADLY, "e2", depth=1)
     )
-    assert found.list_condemned() == [DEADLY]
+    assert found.list_blocked() == [DEADLY]
 
 
 def test_contents_that_came_again_together_wait_for_a_third_end():
-    marks = [
+    crash_records = [
         mark(content, endpoint, depth)
         for content in (DEADLY, OTHER)
         for depth, endpoint in enumerate(("e1", "e2"))
     ]
-    assert judge(*marks).list_condemned() == []
-    found = judge(*marks, mark(DEADLY, "e3", depth=2))
-    assert found.list_condemned() == [DEADLY]
+    assert judge(*crash_records).list_blocked() == []
+    found = judge(*crash_records, mark(DEADLY, "e3", depth=2))
+    assert found.list_blocked() == [DEADLY]
 
 
 def test_content_three_deep_is_condemned_though_it_was_answered_before():
-    marks = [
+    crash_records = [
         mark(content, endpoint, depth, attempts=0)
         for content in (DEADLY, OTHER)
         for depth, endpoint in enumerate(("e1", "e2"))
     ]
-    assert judge(*marks).list_condemned() == []
-    found = judge(*marks, mark(DEADLY, "e3", depth=2, attempts=0))
-    assert found.list_condemned() == [DEADLY]
+    assert judge(*crash_records).list_blocked() == []
+    found = judge(*crash_records, mark(DEADLY, "e3", depth=2, attempts=0))
+    assert found.list_blocked() == [DEADLY]
 
 
 def test_answer_to_one_of_them_leaves_the_other_alone():
-    marks = [
+    crash_records = [
         mark(content, endpoint, depth)
         for content in (DEADLY, OTHER)
         for depth, endpoint in enumerate(("e1", "e2"))
     ]
-    found = judge(*marks, cleared=[mark(OTHER, "e1"), mark(OTHER, "e2")])
-    assert found.list_condemned() == [DEADLY]
+    found = judge(
+        *crash_records, cleared=[mark(OTHER, "e1"), mark(OTHER, "e2")]
+    )
+    assert found.list_blocked() == [DEADLY]
 
 
 def test_two_attempts_under_way_together_are_one_step():
     found = judge(mark(OTHER, "e1"), mark(OTHER, "e2"))
     assert found.find_depth(OTHER) == 1
-    assert found.list_condemned() == []
+    assert found.list_blocked() == []
 
 
 def test_three_attempts_that_broke_off_condemn_however_they_were_sent():
     # Eight attempts were sent between the first end and the second; three had
     # broken off with the first already, at two instances.
     found = judge(mark(DEADLY, "e1", attempts=2), mark(DEADLY, "e1"))
-    assert found.list_condemned() == []
+    assert found.list_blocked() == []
     found = judge(
-        mark(DEADLY, "e1", attempts=2), mark(DEADLY, "e1", witness="g2")
+        mark(DEADLY, "e1", attempts=2), mark(DEADLY, "e1", reporter="g2")
     )
-    assert found.list_condemned() == [DEADLY]
+    assert found.list_blocked() == [DEADLY]
 
 
 def test_content_that_was_answered_before_is_condemned_by_the_chain_only():
     found = judge(mark(OTHER, "e1", attempts=5))
-    assert found.list_condemned() == [OTHER]
-    assert found.excuse([OTHER], 0.0) == [OTHER]
-    assert found.list_condemned() == []
+    assert found.list_blocked() == [OTHER]
+    assert found.exempt([OTHER], 0.0) == [OTHER]
+    assert found.list_blocked() == []
     found.add([mark(OTHER, "e2", depth=1)], 0.0)
-    assert found.list_condemned() == [OTHER]
+    assert found.list_blocked() == [OTHER]
 
 
 def test_attempts_at_a_common_content_condemn_it_by_the_chain_only():
     ends = [mark(OTHER, f"e{n}", attempts=0) for n in range(8)]
-    assert judge(*ends).list_condemned() == []
+    assert judge(*ends).list_blocked() == []
     found = judge(*ends, mark(OTHER, "e9", depth=1, attempts=0))
-    assert found.list_condemned() == [OTHER]
+    assert found.list_blocked() == [OTHER]
 
 
 def test_mark_that_went_on_from_a_cleared_one_counts_once():
@@ -105,7 +109,7 @@
 
 def test_later_start_of_an_endpoint_is_another_one():
     found = judge(mark(DEADLY, "e1", born=1), mark(DEADLY, "e1", 1, born=2))
-    assert found.list_condemned() == [DEADLY]
+    assert found.list_blocked() == [DEADLY]
 
 
 def test_condemned_content_is_tried_again_the_later_the_deeper_it_is():
@@ -122,7 +126,7 @@
     found = judge(mark(DEADLY, "e1"), mark(DEADLY, "e2", 1))
     assert found.find_left(DEADLY, 1.0) == suspicion.KEPT_SECONDS - 1.0
     found.forget(suspicion.KEPT_SECONDS - 1.0)
-    assert found.list_condemned() == [DEADLY]
+    assert found.list_blocked() == [DEADLY]
     found.forget(suspicion.KEPT_SECONDS + 1.0)
     assert not found
     # Who heard of them later tells them still.
@@ -135,13 +139,13 @@
     found = judge(mark(DEADLY, "e1"), mark(DEADLY, "e2", 1))
     for n in range(suspicion._CONTENTS_MOST * 2):
         found.add([mark(b"%d" % n, f"f{n // 50}")], 1.0)
-    assert found.list_condemned() == [DEADLY]
+    assert found.list_blocked() == [DEADLY]
     assert len(found.list_contents(1)) <= suspicion._CONTENTS_MOST
     assert len(found._at_start) <= suspicion._CONTENTS_MOST
 
 
 MARKS = st.builds(
-    suspicion.Mark,
+    suspicion.CrashRecord,
     st.sampled_from([DEADLY, OTHER, THIRD]),
     st.sampled_from(["e1", "e2", "e3", "e4"]),
     st.integers(0, 1),
@@ -157,8 +161,11 @@
     for verb, one in steps:
         getattr(found, verb)([one], 0.0)
     return (
-        sorted(map(str, found.list_condemned())),
-        [sorted(map(str, found.list_marks(c))) for c in (DEADLY, OTHER, THIRD)],
+        sorted(map(str, found.list_blocked())),
+        [
+            sorted(map(str, found.list_crash_records(c)))
+            for c in (DEADLY, OTHER, THIRD)
+        ],
     )
 
 
@@ -174,6 +181,6 @@
     found = suspicion.Suspicion()
     for verb, one in steps:
         getattr(found, verb)([one], 0.0)
-    for content in found.list_condemned():
-        marks = found.list_marks(content)
-        assert len(marks) >= 2 or marks[0].attempts >= 2
+    for content in found.list_blocked():
+        crash_records = found.list_crash_records(content)
+        assert len(crash_records) >= 2 or crash_records[0].attempts >= 2
--- a/tests/gateway/test_telling.py
+++ b/tests/gateway/test_announcements.py
@@ -4,10 +4,10 @@
 
 from standins import platform_site
 from tests.gateway import harness
-from wayslip.gateway import currency as currency_module
+from wayslip.gateway import announcements
 from wayslip.gateway import facts
 from wayslip.gateway import options as options_module
-from wayslip.gateway import telling
+from wayslip.gateway import staleness as staleness_module
 
 
 def find_roles(system, joined):
@@ -49,7 +49,7 @@
 @harness.run
 async def test_follower_that_missed_a_change_reads_for_itself(system):
     holder, follower = find_roles(system, await system.join("g2"))
-    told = holder._teller.tell_changes
+    told = holder._announcer.announce_list_changes
     # As if the datagram with the change had been lost.
     holder._endpoints._tell = lambda changes: None
     await system.add("e1", "plain")
@@ -91,13 +91,13 @@
         if isinstance(message, facts.Changes):
             sent.append(address)
 
-    holder._teller._hub.send = note
+    holder._announcer._hub.send = note
     for number in range(190):
         holder._take_message(report_blind(number), ("10.0.0.9", number))
-    assert 1 <= len(sent) <= telling.LISTS_MOST
+    assert 1 <= len(sent) <= announcements.LISTS_MOST
     # The others ask again with their next reports, and get it in turn.
     before = set(sent)
-    await asyncio.sleep(1.5 / telling.LISTS_MOST)
+    await asyncio.sleep(1.5 / announcements.LISTS_MOST)
     holder._take_message(report_blind(189), ("10.0.0.9", 189))
     assert set(sent) - before == {("10.0.0.9", 189)}
 
@@ -112,7 +112,7 @@
     assert parts[-1].names == ("e1",)
     for part in parts:
         follower._endpoints.watcher.revision = 0
-        follower._endpoints.take_told(part)
+        follower._endpoints.apply_update(part)
     assert "e1" in follower.view.tracked
 
 
@@ -121,13 +121,13 @@
     await system.until(lambda: system.gateway.leadership.is_valid)
     follower = await system.join("g2", PATIENT)
     watcher = follower._endpoints.watcher
-    await system.until(lambda: watcher.currency.is_fresh)
+    await system.until(lambda: watcher.staleness.is_fresh)
     seen_at = watcher.seen_at
-    spread = system.gateway._teller._spread
+    spread = system.gateway._announcer._spread
     # Changes get lost once, and come again when they are asked for.
-    system.gateway._teller._spread = lambda message: None
+    system.gateway._announcer._spread = lambda message: None
     await system.add("e1", "plain")
-    system.gateway._teller._spread = spread
+    system.gateway._announcer._spread = spread
     await system.until(lambda: "e1" in follower.view.tracked)
     assert watcher.seen_at == seen_at
 
@@ -144,7 +144,7 @@
     await system.until(lambda: len(holder.view.tracked) == 70)
     last = [c for c in told if c.revision][-1]
     follower._endpoints.watcher.revision = last.revision - 1
-    follower._endpoints.take_told(last)
+    follower._endpoints.apply_update(last)
     assert not follower._endpoints.has(last.revision)
 
 
@@ -163,27 +163,27 @@
 
 def test_word_counts_until_it_is_too_old():
     async def body():
-        currency = currency_module.Currency(0.3, lambda: False)
-        assert not currency.is_fresh
-        currency.hear(0.1, True)
-        assert currency.is_fresh
-        await asyncio.wait_for(currency.wait_until_needed(), 5.0)
-        assert not currency.is_fresh
+        staleness = staleness_module.Staleness(0.3, lambda: False)
+        assert not staleness.is_fresh
+        staleness.hear(0.1, True)
+        assert staleness.is_fresh
+        await asyncio.wait_for(staleness.wait_until_needed(), 5.0)
+        assert not staleness.is_fresh
 
     asyncio.run(body())
 
 
 def test_missing_change_ends_the_wait_and_a_late_one_goes_on_with_it():
     async def body():
-        currency = currency_module.Currency(60.0, lambda: False)
-        currency.hear(0.0, True)
-        waiting = asyncio.create_task(currency.wait_until_needed())
+        staleness = staleness_module.Staleness(60.0, lambda: False)
+        staleness.hear(0.0, True)
+        waiting = asyncio.create_task(staleness.wait_until_needed())
         await asyncio.sleep(0)
-        currency.hear(0.0, False)
-        currency.hear(0.0, True)
+        staleness.hear(0.0, False)
+        staleness.hear(0.0, True)
         await asyncio.sleep(0.4)
         assert not waiting.done()
-        currency.hear(0.0, False)
+        staleness.hear(0.0, False)
         await asyncio.wait_for(waiting, 5.0)
 
     asyncio.run(body())
@@ -191,9 +191,9 @@
 
 def test_leader_always_reads():
     async def body():
-        currency = currency_module.Currency(60.0, lambda: True)
-        currency.hear(0.0, True)
-        await asyncio.wait_for(currency.wait_until_needed(), 1.0)
+        staleness = staleness_module.Staleness(60.0, lambda: True)
+        staleness.hear(0.0, True)
+        await asyncio.wait_for(staleness.wait_until_needed(), 1.0)
 
     asyncio.run(body())
 
@@ -202,7 +202,7 @@
 async def test_planned_stop_says_that_nobody_plans(system):
     holder, follower = find_roles(system, await system.join("g2"))
     yielded = []
-    follower.leadership.hear_yield = yielded.append
+    follower.leadership.receive_yield = yielded.append
     term = holder.leadership.seen_term
     holder._stopping.set()
     await system.until(lambda: term in yielded)
--- a/tests/gateway/test_confirming.py
+++ b/tests/gateway/test_confirmations.py
@@ -8,7 +8,7 @@
 from tests.gateway import harness
 from wayslip.decisions import manifest as manifest_module
 from wayslip.gateway import configuration
-from wayslip.gateway import confirming
+from wayslip.gateway import confirmations
 from wayslip.gateway import facts
 
 
@@ -32,7 +32,7 @@
 
 @dataclasses.dataclass
 class Instance:
-    confirmations: confirming.Confirmations
+    confirmations: confirmations.Confirmations
     holder: configuration.Holder
     hub: Hub
     heard: list
@@ -41,7 +41,7 @@
 @pytest.fixture
 def clock():
     found = Clock()
-    with mock.patch.object(confirming, "clock", found):
+    with mock.patch.object(confirmations, "clock", found):
         yield found
 
 
@@ -51,7 +51,7 @@
     holder = configuration.Holder()
     holder.offer(manifest_module.Manifest(version, (), {}))
     hub, heard = Hub(), []
-    found = confirming.Confirmations(
+    found = confirmations.Confirmations(
         dataclasses.replace(options, bounds=bounds),
         holder,
         hub,
--- a/tests/gateway/test_deadly_requests.py
+++ b/tests/gateway/test_deadly_requests.py
@@ -160,7 +160,7 @@
     leaving = platform_site.entry("plain", address, state="draining", seq=78)
     system.store.put("servers", "e1", leaving)
     await system.until(lambda: tracked.endpoint.is_leaving)
-    system.gateway._quarantine.note_break(
+    system.gateway._quarantine.note_broken_attempt(
         tracked.endpoint, b"c", 0, system.gateway._requests._attempts.pool.open
     )
     engine.crash()
@@ -317,7 +317,9 @@
 async def test_one_request_in_a_while_is_tried(system):
     await system.until(lambda: system.gateway.leadership.is_held)
     quarantine = system.gateway._quarantine
-    quarantine.take(facts.Suspects((suspicion.Mark(b"c", "e1", attempts=3),)))
+    quarantine.take(
+        facts.Suspects((suspicion.CrashRecord(b"c", "e1", attempts=3),))
+    )
     assert not quarantine.begin_trial(b"c")
     later = clock.now() + suspicion._TRIAL_SECONDS
     with mock.patch.object(clock, "now", lambda: later):
@@ -330,9 +332,11 @@
     quarantine = system.gateway._quarantine
     quarantine.note_answer(b"c")
     quarantine.take(
-        facts.Suspects((suspicion.Mark(b"c", "e1", witness="g2", attempts=3),))
+        facts.Suspects(
+            (suspicion.CrashRecord(b"c", "e1", reporter="g2", attempts=3),)
+        )
     )
-    await system.until(lambda: not quarantine.is_condemned(b"c"))
+    await system.until(lambda: not quarantine.is_blocked(b"c"))
 
 
 @harness.run
@@ -343,8 +347,8 @@
     third = await system.join("g3")
     gateways = [system.gateway, other, third]
     holder = next(g for g in gateways if g.leadership.is_held)
-    teller, hearer = (g for g in gateways if g is not holder)
-    marks = [suspicion.Mark(b"c", "e1", attempts=3)]
-    with mock.patch.object(teller._audience._members, "peers", list):
-        teller._quarantine._tell(facts.Suspects(tuple(marks)))
-        await system.until(lambda: hearer._quarantine.is_condemned(b"c"))
+    announcer, hearer = (g for g in gateways if g is not holder)
+    crash_records = [suspicion.CrashRecord(b"c", "e1", attempts=3)]
+    with mock.patch.object(announcer._peer_broadcast._members, "peers", list):
+        announcer._quarantine._tell(facts.Suspects(tuple(crash_records)))
+        await system.until(lambda: hearer._quarantine.is_blocked(b"c"))
--- a/tests/gateway/test_detaching.py
+++ b/tests/gateway/test_detached_operation.py
@@ -29,8 +29,8 @@
     )
     words = members.list_words(2, "10.0.0.1:1")
     assert words == [
-        detachment.Word(float("-inf"), True),
-        detachment.Word(7.0, True),
+        detachment.PeerStatus(float("-inf"), True),
+        detachment.PeerStatus(7.0, True),
     ]
 
 
@@ -90,7 +90,7 @@
     assert "m2" in engine.models
     assert len(system.store.objects.get("wayslip-claims", {})) == writes
     # The other one keeps away from the engine for a while.
-    assert not other._ordering.claims.may_claim("e1")
+    assert not other._order_sender.claims.may_claim("e1")
     system.store.faults.is_silent = False
     await system.until(lambda: system.gateway.leadership.is_valid)
     assert not other.leadership.is_held
@@ -103,9 +103,9 @@
     holder = system.gateway
     await system.until(lambda: holder.leadership.is_valid)
     # Only the holder's calls fail.
-    holder.leadership._doubt.worsen()
-    detaching = holder._teller._detaching
+    holder.leadership._renewal_timeout.worsen()
+    detached_operation = holder._announcer._detached_operation
     for _ in range(20):
-        assert not detaching.is_granted
+        assert not detached_operation.is_granted
         await asyncio.sleep(0.02)
     assert other.leadership.is_cut_off is False
--- a/tests/gateway/test_distribution.py
+++ b/tests/gateway/test_distribution.py
@@ -12,7 +12,7 @@
 from tests.stateful import order_engine
 from wayslip import errors
 from wayslip.decisions import manifest as manifest_module
-from wayslip.gateway import copying
+from wayslip.gateway import copy_client
 from wayslip.gateway import distribution as distribution_module
 from wayslip.gateway import snapshots
 from wayslip.platform import decoding
@@ -89,7 +89,7 @@
 
 @harness.run
 async def test_instance_hands_on_what_it_has(system):
-    client = copying.HttpCopyClient()
+    client = copy_client.HttpCopyClient()
     data = await client.fetch(_find_pages(system), 0)
     assert snapshots.decode(data) == system.gateway.holder.manifest
     assert await client.fetch(_find_pages(system), 1) == b""
@@ -97,24 +97,24 @@
 
 @harness.run
 async def test_instance_whose_link_is_taken_hands_nothing_on(system):
-    system.gateway._keeper.distribution._link_free_at = float("inf")
-    client = copying.HttpCopyClient()
+    system.gateway._configuration_sync.distribution._link_free_at = float("inf")
+    client = copy_client.HttpCopyClient()
     assert await client.fetch(_find_pages(system), 0) == b""
 
 
 @harness.run
 async def test_instance_that_is_behind_does_not_deny_a_route(system):
     # What the holder tells of may have the route. 404 is final to a client.
-    system.gateway._keeper.distribution.hear(2)
-    currency = system.gateway._keeper.watcher.currency
-    currency._leads = lambda: False
-    currency.hear(0.0, False)
+    system.gateway._configuration_sync.distribution.hear(2)
+    staleness = system.gateway._configuration_sync.watcher.staleness
+    staleness._leads = lambda: False
+    staleness.hear(0.0, False)
     answer = await system.ask("/new/a")
     assert (answer.status, answer.headers["retry-after"]) == (503, "1.00")
     system.store.put("config", "main", platform_site.large_manifest(2, 10))
     await system.until(lambda: system.gateway.holder.version == 2)
-    currency.note_complete()
-    currency.hear(0.0, True)
+    staleness.note_complete()
+    staleness.hear(0.0, True)
     assert (await system.ask("/new/a")).status == 404
 
 
--- a/tests/gateway/test_engine_words.py
+++ b/tests/gateway/test_endpoint_notices.py
@@ -23,7 +23,7 @@
 from tests.gateway import harness
 
 
-async def say_leaving(engine, request, line):
+async def announce_leaving(engine, request, line):
     await line.answer(request, engine.name.encode(), Server_Leaving="1")
 
 
@@ -45,7 +45,7 @@
 async def test_engine_that_says_that_it_leaves_gets_no_more(
     system,
 ):
-    leaving = await system.add("e1", "plain", script=say_leaving)
+    leaving = await system.add("e1", "plain", script=announce_leaving)
     await system.ask("/get/a")
     await system.add("e2", "plain")
     answers = await ask_many(system)
@@ -55,7 +55,7 @@
 
 @harness.run
 async def test_answer_that_says_so_is_passed_on_as_it_is(system):
-    await system.add("e1", "plain", script=say_leaving)
+    await system.add("e1", "plain", script=announce_leaving)
     answer = await system.ask("/get/a")
     assert (answer.status, answer.body) == (200, b"e1")
     assert answer.headers["server-leaving"] == "1"
@@ -63,7 +63,7 @@
 
 @harness.run
 async def test_entry_that_still_says_ready_does_not_undo_it(system):
-    leaving = await system.add("e1", "plain", script=say_leaving)
+    leaving = await system.add("e1", "plain", script=announce_leaving)
     await system.ask("/get/a")
     address = system.gateway.view.tracked["e1"].endpoint.address
     fresh = platform_site.entry("plain", address, seq=90, slots=9)
@@ -76,7 +76,7 @@
 
 @harness.run
 async def test_entry_that_lapsed_and_came_back_does_not_undo_it(system):
-    leaving = await system.add("e1", "plain", script=say_leaving)
+    leaving = await system.add("e1", "plain", script=announce_leaving)
     await system.ask("/get/a")
     address = system.gateway.view.tracked["e1"].endpoint.address
     system.store.remove("servers", "e1")
@@ -89,7 +89,7 @@
 
 @harness.run
 async def test_later_start_under_the_same_id_gets_requests(system):
-    engine = await system.add("e1", "plain", script=say_leaving)
+    engine = await system.add("e1", "plain", script=announce_leaving)
     await system.ask("/get/a")
     engine.script = platform_engine.answer_whole
     address = system.gateway.view.tracked["e1"].endpoint.address
@@ -102,7 +102,7 @@
 
 @harness.run
 async def test_other_instances_hear_of_it(system):
-    leaving = await system.add("e1", "plain", script=say_leaving)
+    leaving = await system.add("e1", "plain", script=announce_leaving)
     other = await system.join("g2")
     await system.until(lambda: "e1" in other.view.tracked)
     await system.ask("/get/a")
@@ -162,12 +162,12 @@
 @harness.run
 async def test_instance_that_knows_no_peers_yet_tells_the_holder(system):
     # Whoever had just started told nobody that an engine leaves.
-    await system.add("e1", "plain", script=say_leaving)
+    await system.add("e1", "plain", script=announce_leaving)
     others = [await system.join(name) for name in ("g2", "g3")]
     for other in others:
         await system.until(lambda o=other: "e1" in o.view.tracked)
-    others[0]._audience._members._told = ()
-    others[0]._audience._members.adopt_peers = lambda peers: None
+    others[0]._peer_broadcast._members._told = ()
+    others[0]._peer_broadcast._members.adopt_peers = lambda peers: None
     await system.ask("/get/a", at=others[0])
     tracked = others[1].view.tracked
     await system.until(lambda: tracked["e1"].endpoint.is_leaving, 1.0)
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -63,7 +63,7 @@
 @with_members
 async def test_one_of_all_takes_the_lease(standin, members):
     await until(lambda: holders(members))
-    await asyncio.sleep(lease.HOLD)
+    await asyncio.sleep(lease.HOLD_SECONDS)
     assert len(holders(members)) == 1
     assert sum(m.taken for m in members) == 1
 
@@ -79,7 +79,7 @@
     term = holder.leadership.seen_term
     for _ in range(60):
         for member in others:
-            member.leadership.hear_yield(term)
+            member.leadership.receive_yield(term)
         await asyncio.sleep(0.02)
     assert sum(m.taken for m in others) == 1
     assert len(holders(others)) == 1
@@ -102,7 +102,7 @@
     await until(lambda: holders(members))
     holder = holders(members)[0]
     term = holder.leadership.seen_term
-    holder.leadership.hear_holder(term + 1, 99_999, "127.0.0.1:9")
+    holder.leadership.receive_holder(term + 1, 99_999, "127.0.0.1:9")
     assert not holder.leadership.is_held
     assert holder.leadership.holder_address == "127.0.0.1:9"
 
@@ -125,7 +125,7 @@
     others = [m for m in members if m is not holder]
     for member in others:
         member.leadership.ask()
-    async with asyncio.timeout(lease.EXPIRY):
+    async with asyncio.timeout(lease.EXPIRY_SECONDS):
         await until(lambda: holders(others))
     assert not holder.leadership.follows_another
     assert holders(others)[0].leadership.follows_another
@@ -140,7 +140,7 @@
     await until(lambda: holders(members))
     holder = holders(members)[0]
     doubts = []
-    holder.leadership._doubt.worsen = lambda: doubts.append(1)
+    holder.leadership._renewal_timeout.worsen = lambda: doubts.append(1)
     revision = holder.leadership.revision
     standin.faults.mutes_writes = 1
     await until(lambda: not standin.faults.mutes_writes)
@@ -164,9 +164,9 @@
     await until(lambda: holders(others))
     taken = holders(others)[0].leadership
     # As its first statement tells the one before, still between renewals.
-    holder.leadership.hear_holder(
+    holder.leadership.receive_holder(
         taken.seen_term, taken.revision, "127.0.0.1:9"
     )
-    await asyncio.sleep(2 * lease.RENEWAL)
+    await asyncio.sleep(2 * lease.RENEWAL_SECONDS)
     assert taken.is_held
     assert sum(m.taken for m in others) == 1
--- a/tests/gateway/test_ordering.py
+++ b/tests/gateway/test_order_sender.py
@@ -9,11 +9,11 @@
 from wayslip.decisions import fleet
 from wayslip.decisions import lease
 from wayslip.decisions import manifest
-from wayslip.gateway import books as books_module
-from wayslip.gateway import charges
 from wayslip.gateway import engines as engines_module
 from wayslip.gateway import options as options_module
-from wayslip.gateway import ordering
+from wayslip.gateway import order_sender
+from wayslip.gateway import planner_inputs
+from wayslip.gateway import tracked_engines as tracked_engines_module
 from wayslip.platform import engines
 from wayslip.platform import store
 
@@ -25,7 +25,7 @@
     entry = fleet.Endpoint(
         "e1", "s", "127.0.0.1:1", "h", models={m: frozenset() for m in models}
     )
-    return books_module.Book(entry, **fields)
+    return tracked_engines_module.TrackedEngine(entry, **fields)
 
 
 def state(orders, *models, **fields):
@@ -48,154 +48,158 @@
 
 def make_known_book(orders, *models, at=NOW, **fields):
     """Returns a book that a report was taken into."""
-    book = make_book(*models)
-    book.take_state(state(orders, *models, **fields), at)
-    return book
+    tracked_engine = make_book(*models)
+    tracked_engine.take_state(state(orders, *models, **fields), at)
+    return tracked_engine
 
 
 def test_report_shows_more_than_an_old_entry():
     # A holder that took over had an entry without a model that was loaded
     # since, and ordered the engine over its memory.
-    book = make_book("m1")
-    assert book.take_state(state(3, "m1", "m2"), NOW)
-    assert book.charged() == {M1, M2}
-    book.take_entry(book.endpoint, NOW)
-    assert book.charged() == {M1, M2}
+    tracked_engine = make_book("m1")
+    assert tracked_engine.take_state(state(3, "m1", "m2"), NOW)
+    assert tracked_engine.charged() == {M1, M2}
+    tracked_engine.take_entry(tracked_engine.endpoint, NOW)
+    assert tracked_engine.charged() == {M1, M2}
 
 
 def test_old_report_is_not_believed():
-    book = make_known_book(2, "m1")
-    book.note_taken(load(2, M2), NOW)
-    assert not book.take_state(state(2, "m1"), NOW + 1)
-    assert book.charged() == {M1, M2}
-    assert book.inventory.orders == 3
+    tracked_engine = make_known_book(2, "m1")
+    tracked_engine.note_taken(load(2, M2), NOW)
+    assert not tracked_engine.take_state(state(2, "m1"), NOW + 1)
+    assert tracked_engine.charged() == {M1, M2}
+    assert tracked_engine.inventory.orders == 3
 
 
 def test_report_that_stays_behind_corrects_the_count():
-    book = make_known_book(2, "m1")
-    book.note_taken(load(2, M2), NOW)
-    assert book.take_state(state(2, "m1"), NOW + 10)
-    assert book.is_certain
-    assert book.inventory.orders == 2
+    tracked_engine = make_known_book(2, "m1")
+    tracked_engine.note_taken(load(2, M2), NOW)
+    assert tracked_engine.take_state(state(2, "m1"), NOW + 10)
+    assert tracked_engine.is_certain
+    assert tracked_engine.inventory.orders == 2
 
 
 def test_old_heartbeat_does_not_free_what_was_seen():
     # An entry of before the load came after one that showed the model, and
     # the engine was ordered over its memory (hbmaa mix --seed 996805638734).
-    book = make_known_book(2, "m1")
-    old = book.endpoint
-    book.note_taken(load(2, M2), NOW)
+    tracked_engine = make_known_book(2, "m1")
+    old = tracked_engine.endpoint
+    tracked_engine.note_taken(load(2, M2), NOW)
     listed = {"m1": frozenset(), "m2": frozenset()}
-    book.take_entry(dataclasses.replace(old, models=listed), NOW)
-    book.take_entry(old, NOW)
-    assert M2 in book.charged()
+    tracked_engine.take_entry(dataclasses.replace(old, models=listed), NOW)
+    tracked_engine.take_entry(old, NOW)
+    assert M2 in tracked_engine.charged()
 
 
 def test_old_heartbeat_does_not_end_an_unload():
     # The unload was refused, or never reached the engine, and its note stood
     # until an entry of before the load: nine adapters at eight places.
-    book = make_known_book(2, "m1", "m2")
-    book.withdrawn.add(M2)
-    old = dataclasses.replace(book.endpoint, models={"m1": frozenset()})
-    book.take_entry(old, NOW)
-    assert M2 in book.charged()
+    tracked_engine = make_known_book(2, "m1", "m2")
+    tracked_engine.withdrawn.add(M2)
+    old = dataclasses.replace(
+        tracked_engine.endpoint, models={"m1": frozenset()}
+    )
+    tracked_engine.take_entry(old, NOW)
+    assert M2 in tracked_engine.charged()
 
 
 def test_old_heartbeat_does_not_charge_what_is_gone():
     # Victims that were not there were ordered away, and counted wrongly.
-    book = make_known_book(2, "m1")
+    tracked_engine = make_known_book(2, "m1")
     listed = {"m1": frozenset(), "m2": frozenset()}
-    book.take_entry(dataclasses.replace(book.endpoint, models=listed), NOW)
-    assert book.charged() == {M1}
-    assert M2 not in book.removable()
+    tracked_engine.take_entry(
+        dataclasses.replace(tracked_engine.endpoint, models=listed), NOW
+    )
+    assert tracked_engine.charged() == {M1}
+    assert M2 not in tracked_engine.removable()
 
 
 def test_load_is_charged_until_it_shows():
-    book = make_known_book(0, "m1")
-    book.note_taken(load(0, M2), NOW)
-    book.take_entry(book.endpoint, NOW)
-    assert M2 in book.charged()
-    assert book.take_state(state(1, "m1", is_busy=True), NOW)
-    assert M2 in book.charged()
-    assert not book.holds(M2)
-    book.take_state(state(1, "m1", "m2"), NOW)
-    assert not book.added
-    assert book.holds(M2)
+    tracked_engine = make_known_book(0, "m1")
+    tracked_engine.note_taken(load(0, M2), NOW)
+    tracked_engine.take_entry(tracked_engine.endpoint, NOW)
+    assert M2 in tracked_engine.charged()
+    assert tracked_engine.take_state(state(1, "m1", is_busy=True), NOW)
+    assert M2 in tracked_engine.charged()
+    assert not tracked_engine.holds(M2)
+    tracked_engine.take_state(state(1, "m1", "m2"), NOW)
+    assert not tracked_engine.added
+    assert tracked_engine.holds(M2)
 
 
 def test_unload_frees_only_what_was_seen_gone():
-    book = make_known_book(0, "m1", "m2")
-    book.note_taken(unload(0, M2), NOW)
-    assert M2 in book.charged()
-    assert M2 not in book.usable()
-    assert not book.lacks(M2)
-    book.take_state(state(1, "m1"), NOW)
-    assert book.charged() == {M1}
-    assert book.lacks(M2)
+    tracked_engine = make_known_book(0, "m1", "m2")
+    tracked_engine.note_taken(unload(0, M2), NOW)
+    assert M2 in tracked_engine.charged()
+    assert M2 not in tracked_engine.usable()
+    assert not tracked_engine.lacks(M2)
+    tracked_engine.take_state(state(1, "m1"), NOW)
+    assert tracked_engine.charged() == {M1}
+    assert tracked_engine.lacks(M2)
 
 
 def test_unload_of_a_model_takes_its_adapters_along():
-    book = make_known_book(0, "m1")
+    tracked_engine = make_known_book(0, "m1")
     a1 = ("m1", "a1")
-    book.note_taken(load(0, a1), NOW)
-    book.note_taken(unload(1, M1), NOW)
-    assert book.withdrawn == {M1, a1}
-    assert book.charged() == {M1, a1}
-    assert not book.removable()
+    tracked_engine.note_taken(load(0, a1), NOW)
+    tracked_engine.note_taken(unload(1, M1), NOW)
+    assert tracked_engine.withdrawn == {M1, a1}
+    assert tracked_engine.charged() == {M1, a1}
+    assert not tracked_engine.removable()
 
 
 def test_adapters_on_their_way_take_places_and_can_not_be_removed():
-    book = make_known_book(1, "m1", coming=frozenset({("m1", "a7")}))
-    assert ("m1", "a7") in book.charged()
-    assert book.removable() == {M1}
+    tracked_engine = make_known_book(1, "m1", coming=frozenset({("m1", "a7")}))
+    assert ("m1", "a7") in tracked_engine.charged()
+    assert tracked_engine.removable() == {M1}
 
 
 def test_answer_that_an_adapter_is_unloaded_is_believed_of_what_was_there():
     a7 = ("m1", "a7")
-    book = make_known_book(1, "m1", coming=frozenset({a7}))
-    book.note_dropped(unload(1, a7), NOW)
-    assert not book.is_certain
-    assert a7 in book.charged()
+    tracked_engine = make_known_book(1, "m1", coming=frozenset({a7}))
+    tracked_engine.note_dropped(unload(1, a7), NOW)
+    assert not tracked_engine.is_certain
+    assert a7 in tracked_engine.charged()
 
 
 def test_engine_that_loads_for_a_holder_before_us_is_not_known():
-    book = make_book("m1")
-    book.take_state(state(1, "m1", is_busy=True), NOW)
-    assert not book.is_certain
-    book.take_state(state(1, "m1", "m2"), NOW)
-    assert book.is_certain
+    tracked_engine = make_book("m1")
+    tracked_engine.take_state(state(1, "m1", is_busy=True), NOW)
+    assert not tracked_engine.is_certain
+    tracked_engine.take_state(state(1, "m1", "m2"), NOW)
+    assert tracked_engine.is_certain
 
 
 def test_engine_that_turns_busy_with_another_order_is_not_known_any_more():
     # What it loads is shown by nobody, and its count is told all the same.
-    book = make_known_book(1, "m1")
-    book.take_state(state(2, "m1", is_busy=True), NOW)
-    assert not book.is_certain
+    tracked_engine = make_known_book(1, "m1")
+    tracked_engine.take_state(state(2, "m1", is_busy=True), NOW)
+    assert not tracked_engine.is_certain
 
 
 def test_report_of_before_a_load_does_not_replace_one_of_after():
-    book = make_known_book(0, "m1")
-    book.note_taken(load(0, M2), NOW)
-    book.take_state(state(1, "m1", "m2"), NOW)
-    book.take_state(state(1, "m1", is_busy=True), NOW)
-    assert book.holds(M2)
+    tracked_engine = make_known_book(0, "m1")
+    tracked_engine.note_taken(load(0, M2), NOW)
+    tracked_engine.take_state(state(1, "m1", "m2"), NOW)
+    tracked_engine.take_state(state(1, "m1", is_busy=True), NOW)
+    assert tracked_engine.holds(M2)
 
 
 def test_model_that_is_still_loading_is_not_usable():
     # A successor told its peers that an adopted load was done, and they sent
     # requests that were all turned away.
-    book = make_known_book(0, "m1")
-    book.note_taken(load(0, M2), NOW)
-    assert M2 not in book.usable()
-    book.take_state(state(1, "m1", "m2"), NOW)
-    assert M2 in book.usable()
+    tracked_engine = make_known_book(0, "m1")
+    tracked_engine.note_taken(load(0, M2), NOW)
+    assert M2 not in tracked_engine.usable()
+    tracked_engine.take_state(state(1, "m1", "m2"), NOW)
+    assert M2 in tracked_engine.usable()
 
 
 def test_model_without_a_specification_is_as_heavy_as_the_heaviest():
     spec = manifest.Model("m1", 100.0, 10.0, ("a1",))
     pool = manifest.Pool(8, 1000, 250.0, 2, 1.0, {"m1": spec})
-    book = make_known_book(0, "m1", "m9")
-    total, _ = charges.sum_charges(book, pool)
+    tracked_engine = make_known_book(0, "m1", "m9")
+    total, _ = planner_inputs.sum_charges(tracked_engine, pool)
     assert total == 200.0
 
 
@@ -218,8 +222,8 @@
             "h",
             models={m: frozenset(a) for m, a in engine.models.items()},
         )
-        self.book = books_module.Book(entry)
-        self.ordering.books[engine.name] = self.book
+        self.tracked_engine = tracked_engines_module.TrackedEngine(entry)
+        self.order_sender.tracked_engines[engine.name] = self.tracked_engine
 
     def connect(self, address, follows_nobody=True):
         self.address = address
@@ -227,12 +231,12 @@
             self.name, "127.0.0.1", "h", "", "", address, "", 0
         )
         self.store = store.PlatformStore(addresses.split_address(address))
-        self.ordering = ordering.Ordering(
+        self.order_sender = order_sender.OrderSender(
             options, self.store, engines.PlatformEngines(), metrics.Metrics()
         )
-        self.ordering.claims.least_token = 40
+        self.order_sender.claims.least_token = 40
         if follows_nobody:
-            self.ordering.claims.follow_nobody()
+            self.order_sender.claims.note_no_predecessor()
 
     def stop(self):
         self.store.close()
@@ -261,24 +265,28 @@
 
 @with_engine
 async def test_order_is_claimed_before_it_is_sent(fixture):
-    outcome = await fixture.ordering.order(fixture.book, lease.Action.LOAD, M2)
+    outcome = await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M2
+    )
     assert outcome is engines_module.OrderOutcome.TAKEN
     claim = fixture.standin.objects["wayslip-claims"]["e1"]["spec"]
     assert (claim["holder"], claim["token"]) == ("g1", 40)
     sent = fixture.engine.orders[0]
     assert (sent["holder"], sent["fencing_token"]) == ("g1", 40)
     assert sent["expected_count"] == 0
-    assert M2 in fixture.book.charged()
+    assert M2 in fixture.tracked_engine.charged()
 
 
 @with_engine
 async def test_order_without_an_answer_is_settled_by_the_count(fixture):
     fixture.engine.order_status = 0
-    outcome = await fixture.ordering.order(fixture.book, lease.Action.LOAD, M2)
+    outcome = await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M2
+    )
     assert outcome is engines_module.OrderOutcome.TAKEN
     # It was carried out once, and the count shows that.
     assert len(fixture.engine.orders) == 1
-    assert fixture.book.inventory.orders == 1
+    assert fixture.tracked_engine.inventory.orders == 1
 
 
 @with_engine
@@ -293,7 +301,9 @@
         await carry_out(request, line)
 
     fixture.engine._take_order = lose_first
-    outcome = await fixture.ordering.order(fixture.book, lease.Action.LOAD, M2)
+    outcome = await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M2
+    )
     assert outcome is engines_module.OrderOutcome.TAKEN
     assert fixture.engine.orders[0]["expected_count"] == 0
     assert fixture.engine.models == {"m1": [], "m2": []}
@@ -301,24 +311,34 @@
 
 @with_engine
 async def test_nothing_is_sent_when_the_claim_is_not_written(fixture):
-    await fixture.ordering.order(fixture.book, lease.Action.LOAD, M2)
+    await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M2
+    )
     fixture.standin.faults.is_down = True
-    outcome = await fixture.ordering.order(fixture.book, lease.Action.LOAD, M3)
+    outcome = await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M3
+    )
     assert outcome is engines_module.OrderOutcome.REFUSED
     assert len(fixture.engine.orders) == 1
-    assert M3 not in fixture.book.charged()
+    assert M3 not in fixture.tracked_engine.charged()
 
 
 @with_engine
 async def test_second_holder_keeps_its_distance(fixture):
-    await fixture.ordering.order(fixture.book, lease.Action.LOAD, M2)
+    await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M2
+    )
     other = Fixture("g2", fixture.standin)
     other.connect(fixture.address)
-    await other.ordering.claims.read_all()
-    assert not other.ordering.claims.may_claim("e1")
-    book = books_module.Book(fixture.book.endpoint)
-    other.ordering.books["e1"] = book
-    outcome = await other.ordering.order(book, lease.Action.LOAD, M3)
+    await other.order_sender.claims.read_all()
+    assert not other.order_sender.claims.may_claim("e1")
+    tracked_engine = tracked_engines_module.TrackedEngine(
+        fixture.tracked_engine.endpoint
+    )
+    other.order_sender.tracked_engines["e1"] = tracked_engine
+    outcome = await other.order_sender.order(
+        tracked_engine, lease.Action.LOAD, M3
+    )
     assert outcome is engines_module.OrderOutcome.REFUSED
     assert len(fixture.engine.orders) == 1
     other.store.close()
@@ -328,20 +348,22 @@
 async def test_process_that_follows_another_keeps_away_from_own_claims(fixture):
     # Another holder may have ordered the engine without a claim since; see
     # `stateful/test_detached_orders.py`, seeds 1388 and 3879.
-    await fixture.ordering.order(fixture.book, lease.Action.LOAD, M2)
+    await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M2
+    )
     again = Fixture("g1", fixture.standin)
     again.connect(fixture.address, follows_nobody=False)
-    await again.ordering.claims.read_all()
-    assert not again.ordering.claims.may_claim("e1")
-    again.ordering.claims.follow_nobody()
-    assert again.ordering.claims.may_claim("e1")
+    await again.order_sender.claims.read_all()
+    assert not again.order_sender.claims.may_claim("e1")
+    again.order_sender.claims.note_no_predecessor()
+    assert again.order_sender.claims.may_claim("e1")
     again.store.close()
 
 
 @with_engine
 async def test_what_does_not_fit_any_more_is_not_sent(fixture):
-    outcome = await fixture.ordering.order(
-        fixture.book, lease.Action.LOAD, M2, lambda: False
+    outcome = await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M2, lambda: False
     )
     assert outcome is engines_module.OrderOutcome.REFUSED
     assert not fixture.engine.orders
@@ -349,12 +371,16 @@
 
 @with_engine
 async def test_orders_of_another_count_are_refused_and_learned(fixture):
-    fixture.book.take_state(state(5, "m1"), clock.now())
-    outcome = await fixture.ordering.order(fixture.book, lease.Action.LOAD, M2)
+    fixture.tracked_engine.take_state(state(5, "m1"), clock.now())
+    outcome = await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M2
+    )
     assert outcome is engines_module.OrderOutcome.BUSY
-    assert await fixture.ordering.learn(fixture.book)
-    assert fixture.book.inventory.orders == 0
-    outcome = await fixture.ordering.order(fixture.book, lease.Action.LOAD, M2)
+    assert await fixture.order_sender.learn(fixture.tracked_engine)
+    assert fixture.tracked_engine.inventory.orders == 0
+    outcome = await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M2
+    )
     assert outcome is engines_module.OrderOutcome.TAKEN
 
 
@@ -364,13 +390,13 @@
     # in a row were refused (ctta-grown quiet-1, adapters at 10.4 s).
     fixture.engine.models = {"m1": ["a1"]}
     fixture.engine.report_lag = 0.5
-    await fixture.ordering.learn(fixture.book)
-    unload = await fixture.ordering.order(
-        fixture.book, lease.Action.UNLOAD, ("m1", "a1")
+    await fixture.order_sender.learn(fixture.tracked_engine)
+    unload = await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.UNLOAD, ("m1", "a1")
     )
     assert unload is engines_module.OrderOutcome.HELD
-    load = await fixture.ordering.order(
-        fixture.book, lease.Action.LOAD, ("m1", "a2")
+    load = await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, ("m1", "a2")
     )
     assert load is engines_module.OrderOutcome.TAKEN
     assert len(fixture.engine.orders) == 2
@@ -378,23 +404,25 @@
 
 @with_engine
 async def test_engine_that_refused_an_order_rests(fixture):
-    fixture.book.take_state(state(5, "m1"), clock.now())
+    fixture.tracked_engine.take_state(state(5, "m1"), clock.now())
     now = clock.now()
-    await fixture.ordering.order(fixture.book, lease.Action.LOAD, M2)
-    assert fixture.book.rests_until > now
+    await fixture.order_sender.order(
+        fixture.tracked_engine, lease.Action.LOAD, M2
+    )
+    assert fixture.tracked_engine.rests_until > now
 
 
 @with_engine
 async def test_what_would_not_be_counted_is_not_ordered(fixture):
     # The engine answers that it holds already, whether it does or not, and
     # counts no order; the next ones were refused for two seconds.
-    await fixture.ordering.learn(fixture.book)
+    await fixture.order_sender.learn(fixture.tracked_engine)
     outcomes = engines_module.OrderOutcome
     load, unload = lease.Action.LOAD, lease.Action.UNLOAD
-    give = fixture.ordering.order
-    assert await give(fixture.book, load, M1) is outcomes.HELD
-    assert await give(fixture.book, unload, M2) is outcomes.HELD
+    give = fixture.order_sender.order
+    assert await give(fixture.tracked_engine, load, M1) is outcomes.HELD
+    assert await give(fixture.tracked_engine, unload, M2) is outcomes.HELD
     a1 = ("m1", "a1")
-    assert await give(fixture.book, load, a1) is outcomes.TAKEN
-    assert await give(fixture.book, unload, a1) is outcomes.REFUSED
+    assert await give(fixture.tracked_engine, load, a1) is outcomes.TAKEN
+    assert await give(fixture.tracked_engine, unload, a1) is outcomes.REFUSED
     assert len(fixture.engine.orders) == 1
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -33,7 +33,9 @@
 async def begin(system, *organisations, **routes):
     configure(system, 2, *organisations, **routes)
     await system.until(lambda: system.gateway.holder.version == 2)
-    await system.until(lambda: system.gateway._keeper.confirmations.is_reliable)
+    await system.until(
+        lambda: system.gateway._configuration_sync.confirmations.is_reliable
+    )
     await system.until(lambda: system.gateway._placement.instances == 1)
     return await system.add("e1", "plain")
 
@@ -97,12 +99,16 @@
     bounds = dataclasses.replace(system.options.bounds, revocation=1.6)
     await begin(system, organisation("shop"), once={"public": True})
     gateway = await system.join("g2", bounds)
-    await system.until(lambda: gateway._keeper.confirmations.is_reliable)
+    await system.until(
+        lambda: gateway._configuration_sync.confirmations.is_reliable
+    )
     key = {"Wayslip_Key": KEYS["shop"]}
     assert (await ask_at(gateway, "/get/a", **key)).status == 200
     system.store.faults.is_down = True
     await system.kill(system.gateway)
-    await system.until(lambda: not gateway._keeper.confirmations.is_reliable)
+    await system.until(
+        lambda: not gateway._configuration_sync.confirmations.is_reliable
+    )
     answer = await ask_at(gateway, "/get/a", **key)
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) > 0
@@ -116,21 +122,29 @@
 ):
     bounds = dataclasses.replace(system.options.bounds, revocation=2.5)
     await begin(system, organisation("shop"))
-    system.gateway._keeper.confirmations.freshness = dataclasses.replace(
-        system.gateway._keeper.confirmations.freshness, bound=2.5
+    system.gateway._configuration_sync.confirmations.freshness = (
+        dataclasses.replace(
+            system.gateway._configuration_sync.confirmations.freshness,
+            bound=2.5,
+        )
     )
     gateway = await system.join("g2", bounds)
-    await system.until(lambda: gateway._keeper.confirmations.is_reliable)
+    await system.until(
+        lambda: gateway._configuration_sync.confirmations.is_reliable
+    )
 
     async def read_nothing():
         raise errors.ObjectUnavailableError("turned away", "ask another")
 
-    gateway._keeper.confirmations._read = read_nothing
-    before = gateway._keeper.confirmations.freshness.proven_at
+    gateway._configuration_sync.confirmations._read = read_nothing
+    before = gateway._configuration_sync.confirmations.freshness.proven_at
     await system.until(
-        lambda: gateway._keeper.confirmations.freshness.proven_at > before + 2.5
+        lambda: (
+            gateway._configuration_sync.confirmations.freshness.proven_at
+            > before + 2.5
+        )
     )
-    assert gateway._keeper.confirmations.is_reliable
+    assert gateway._configuration_sync.confirmations.is_reliable
 
 
 @harness.run
@@ -158,7 +172,9 @@
     quota = organisation("shop", rate_per_s=1000, burst=1000)
     configure(system, 2, quota)
     await system.until(lambda: system.gateway.holder.version == 2)
-    await system.until(lambda: system.gateway._keeper.confirmations.is_reliable)
+    await system.until(
+        lambda: system.gateway._configuration_sync.confirmations.is_reliable
+    )
     await system.until(lambda: system.gateway._placement.instances == 1)
     for number in range(30):
         answer = await system.ask(
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -10,11 +10,11 @@
 from wayslip import clock
 from wayslip import errors
 from wayslip.gateway import adapters
+from wayslip.gateway import announcements
 from wayslip.gateway import configuration
 from wayslip.gateway import datagrams
 from wayslip.gateway import facts
 from wayslip.gateway import members as members_module
-from wayslip.gateway import telling
 from wayslip.platform import decoding
 
 
@@ -66,9 +66,9 @@
     # milliseconds; the news of it waits 0.15 s for more news; the request is
     # refused after 0.16 s.
     # Log: outcome=not_loaded seconds=0.162, then event=item_told held=True.
-    monkeypatch.setattr(telling, "_COALESCE_SECONDS", 60.0)
-    monkeypatch.setattr(telling, "_COALESCE_MOST", 60.0)
-    monkeypatch.setattr(telling, "_WHOLE_SECONDS", 60.0)
+    monkeypatch.setattr(announcements, "_COALESCE_SECONDS", 60.0)
+    monkeypatch.setattr(announcements, "_COALESCE_MOST", 60.0)
+    monkeypatch.setattr(announcements, "_WHOLE_SECONDS", 60.0)
     harness.run(ask_for_an_adapter_elsewhere)()
 
 
@@ -166,14 +166,14 @@
         address="10.0.0.1:7380",
         is_holder=True,
         instances=2,
-        configuration=facts.Seen(7, 0.2),
-        endpoints=facts.Seen(88, 0.1),
+        configuration=facts.WatchProgress(7, 0.2),
+        endpoints=facts.WatchProgress(88, 0.1),
         usages=(facts.Usage("e1", 4, (0, 250)),),
     ),
-    facts.News(
+    facts.PlacementUpdate(
         3,
         True,
-        (facts.Word("e1", "m1", "a1", True, 0.1),),
+        (facts.ItemUpdate("e1", "m1", "a1", True, 0.1),),
         (facts.Arrival("e1", "s", "m2", 8.5, True),),
     ),
     facts.Handover(
@@ -187,7 +187,7 @@
     facts.Report(
         "g1", "h", "p", 1, True, (), (facts.Demand("s", "m", "", 3, 0.2),)
     ),
-    facts.Want("g1", "h", "s", "m", "a1"),
+    facts.ItemRequest("g1", "h", "s", "m", "a1"),
     facts.Missing(88),
     facts.Relay(("10.0.0.2:7380",), b"payload"),
 ]
@@ -215,11 +215,11 @@
     members = members_module.Members()
     address = ("127.0.0.1", 1)
     members.take(report(1, 1), address, set())
-    once = members.owed("s", "rare")
+    once = members.unserved("s", "rare")
     members.take(report(2, 5), address, set())
-    assert members.owed("s", "rare") > 6 * once > 0
+    assert members.unserved("s", "rare") > 6 * once > 0
     members.take(report(3, 1), address, {("s", "rare")})
-    assert members.owed("s", "rare") == 0
+    assert members.unserved("s", "rare") == 0
 
 
 def test_old_reports_are_dropped_but_not_those_of_a_new_process():
@@ -256,10 +256,10 @@
     address = ("127.0.0.1", 1)
     first.take(report(1, 5), address, set())
     second.adopt(first.list_rates())
-    assert second.owed("s", "rare") == first.owed("s", "rare") > 0
+    assert second.unserved("s", "rare") == first.unserved("s", "rare") > 0
     first.take(report(2, 1), address, {("s", "rare")})
     second.adopt(first.list_rates())
-    assert second.owed("s", "rare") == 0
+    assert second.unserved("s", "rare") == 0
 
 
 def test_what_is_owed_is_told_though_nobody_asks_any_more(monkeypatch):
@@ -279,7 +279,7 @@
     demand = facts.Demand("s", "rare", "", 1, 0.1, 1)
     told = facts.Report("g1", "h", "p", 1, False, (), (demand,))
     patient.take(told, address, set())
-    assert patient.owed("s", "rare") > members.owed("s", "rare") > 0
+    assert patient.unserved("s", "rare") > members.unserved("s", "rare") > 0
 
 
 @harness.run
--- a/tests/gateway/test_store_returns.py
+++ b/tests/gateway/test_store_returns.py
@@ -220,16 +220,16 @@
     system.store.keep_backup()
     system.store.put("config", "main", platform_site.manifest(5))
     await system.until(lambda: holder.version == 5)
-    freshness = system.gateway._keeper.confirmations.freshness
+    freshness = system.gateway._configuration_sync.confirmations.freshness
     system.store.return_to_backup()
     await asyncio.sleep(1.5)
-    known = system.gateway._keeper.confirmations.freshness
+    known = system.gateway._configuration_sync.confirmations.freshness
     assert holder.version == 5
     assert known.proven_at - freshness.proven_at < 1.0
     system.store.put("config", "main", platform_site.manifest(5))
     await system.until(
         lambda: (
-            system.gateway._keeper.confirmations.freshness.proven_at
+            system.gateway._configuration_sync.confirmations.freshness.proven_at
             > known.proven_at + 1.0
         )
     )
--- a/tests/gateway/test_suspended.py
+++ b/tests/gateway/test_suspended.py
@@ -21,10 +21,10 @@
 from wayslip.decisions import organisations
 from wayslip.decisions import quota
 from wayslip.gateway import configuration
-from wayslip.gateway import confirming
-from wayslip.gateway import currency
+from wayslip.gateway import confirmations
 from wayslip.gateway import limits
 from wayslip.gateway import options as options_module
+from wayslip.gateway import staleness
 from wayslip.gateway import view as view_module
 from wayslip.http1 import client
 from wayslip.http1 import pool
@@ -51,7 +51,7 @@
 
 @harness.run
 async def test_holders_word_of_the_store_is_old(system):
-    seen = currency.Currency(1.3, lambda: False)
+    seen = staleness.Staleness(1.3, lambda: False)
     seen.hear(0.1, True)
     assert seen.is_fresh
     with suspend(5.0):
@@ -66,7 +66,7 @@
     )
     holder = configuration.Holder()
     holder.offer(system.gateway.holder.manifest)
-    known = confirming.Confirmations(
+    known = confirmations.Confirmations(
         options, holder, None, lambda: None, list, None, None
     )
     known.note_read(clock.now())
@@ -88,23 +88,25 @@
 
 @harness.run
 async def test_holder_without_the_store_goes_on_no_longer(system):
-    detaching = system.gateway._ordering.claims.is_detached.__closure__[0]
-    detaching = detaching.cell_contents
+    detached_operation = (
+        system.gateway._order_sender.claims.is_detached.__closure__[0]
+    )
+    detached_operation = detached_operation.cell_contents
     leadership = system.gateway.leadership
     await system.until(lambda: leadership.is_valid)
-    word = detachment.Word(
+    word = detachment.PeerStatus(
         detachment.read_stamp(detachment.make_stamp(clock.now() + 1.0)),
         True,
     )
-    members = detaching._members
+    members = detached_operation._members
     with (
-        mock.patch.object(type(leadership), "is_doubtful", True),
+        mock.patch.object(type(leadership), "is_renewal_overdue", True),
         mock.patch.object(members, "list_words", lambda term, own: [word]),
         mock.patch.object(members, "list_missing", list),
     ):
-        assert detaching.is_granted
+        assert detached_operation.is_granted
         with suspend(5.0):
-            assert not detaching.is_granted
+            assert not detached_operation.is_granted
 
 
 @harness.run
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -215,4 +215,4 @@
     assert system.gateway.holder.version == 1
     system.store.put("config", "main", platform_site.manifest(3))
     await system.until(lambda: system.gateway.holder.version == 3)
-    assert system.gateway._keeper.watcher.lost_since is None
+    assert system.gateway._configuration_sync.watcher.lost_since is None
--- a/tests/replays/test_spread.py
+++ b/tests/replays/test_spread.py
@@ -17,8 +17,8 @@
 import pytest
 
 from replays import spread
+from wayslip.decisions import load_spreading
 from wayslip.decisions import selection
-from wayslip.decisions import spreading
 
 BUSY = spread.Settings()
 
@@ -44,16 +44,19 @@
 
 
 def test_shares_pour_what_comes_over_the_lowest():
-    shares = spreading.share_out([0.0, 0.1, 1.0], 0.5)
+    shares = load_spreading.share_out([0.0, 0.1, 1.0], 0.5)
     assert shares == pytest.approx([0.6, 0.4, 0.0])
-    assert spreading.share_out([0.2, 0.1], 0.0) == [0.0, 1.0]
-    assert spreading.share_out([0.1, 0.1], 0.0) == [0.5, 0.5]
-    assert spreading.share_out([3.0], 0.0) == [1.0]
+    assert load_spreading.share_out([0.2, 0.1], 0.0) == [0.0, 1.0]
+    assert load_spreading.share_out([0.1, 0.1], 0.0) == [0.5, 0.5]
+    assert load_spreading.share_out([3.0], 0.0) == [1.0]
 
 
 def test_draws_follow_shares():
-    assert [spreading.draw([0.25, 0.0, 0.75], n) for n in (0.0, 0.3)] == [0, 2]
-    assert spreading.draw([1.0, 0.0], 1.0) == 0
+    assert [load_spreading.draw([0.25, 0.0, 0.75], n) for n in (0.0, 0.3)] == [
+        0,
+        2,
+    ]
+    assert load_spreading.draw([1.0, 0.0], 1.0) == 0
 
 
 def test_little_work_leaves_the_choice_to_what_is_cached():
--- a/tests/stateful/limit_world.py
+++ b/tests/stateful/limit_world.py
@@ -147,9 +147,9 @@
             return
         instance = self.rng.choice(instances)
         engine = self.rng.choice(self.engines)
-        patience = self.rng.choice((0.0, 0.15, 0.4, 3.0))
-        taken = await instance.gateway._places.take(
-            engine.endpoint, patience, "r"
+        max_wait = self.rng.choice((0.0, 0.15, 0.4, 3.0))
+        taken = await instance.gateway._permit_broker.take(
+            engine.endpoint, max_wait, "r"
         )
         if not taken.is_granted:
             self.denied += 1
@@ -164,7 +164,9 @@
         await asyncio.sleep(self.rng.uniform(0.001, 0.05))
         if instance not in self.world.instances.values():
             return
-        instance.gateway._places.note_answer(engine.endpoint, limit, sent_at)
+        instance.gateway._permit_broker.note_answer(
+            engine.endpoint, limit, sent_at
+        )
         if limit is not None:
             engine.told.setdefault(id(instance), self.world.now)
 
--- a/tests/stateful/order_network.py
+++ b/tests/stateful/order_network.py
@@ -242,7 +242,7 @@
     async def create(self, kind, name, value):
         return await self._write(kind, name, 0, value)
 
-    async def replace(self, kind, stored, patience=None):
+    async def replace(self, kind, stored, max_wait=None):
         conflict = errors.ObjectConflictError
         self._check(stored.revision, self.era, conflict)
         revision = position.find_revision(stored.revision)
@@ -355,7 +355,7 @@
         if other is None or away & {self._owner, other.options.name}:
             await asyncio.sleep(STORE_PATIENCE)
             raise errors.EndpointUnclearError("no answer", "ask another")
-        data = other.gateway._keeper.distribution.hand_on(version)
+        data = other.gateway._configuration_sync.distribution.hand_on(version)
         if data:
             await world.links[other.options.name].carry(len(data))
             await world.links[self._owner].carry(len(data))
--- a/tests/stateful/order_world.py
+++ b/tests/stateful/order_world.py
@@ -47,13 +47,13 @@
         self.tasks = [
             asyncio.create_task(work)
             for work in (
-                self.gateway._keeper.watcher.run(),
+                self.gateway._configuration_sync.watcher.run(),
                 self.gateway._endpoints.watcher.run(),
                 self.gateway.leadership.run(),
                 self.gateway._placement.run(),
                 self.gateway._placement.watch_holder(),
                 self.gateway._planner.run(),
-                self.gateway._teller.run(self.gateway._find_sights),
+                self.gateway._announcer.run(self.gateway._find_store_progress),
                 self.gateway._quarantine.run(),
                 self._ask(),
             )
@@ -70,7 +70,7 @@
         )
         hub = gateway._hub
         hub._rng = self.world.rng
-        gateway._keeper.distribution._rng = self.world.rng
+        gateway._configuration_sync.distribution._rng = self.world.rng
         spread = hub.spread
         # In order, or a seed would play otherwise in every process.
         hub.spread = lambda message, peers: spread(
--- a/tests/stateful/quota_world.py
+++ b/tests/stateful/quota_world.py
@@ -14,10 +14,10 @@
 from wayslip.decisions import manifest as manifest_module
 from wayslip.decisions import organisations
 from wayslip.decisions import quota
-from wayslip.gateway import accounts
 from wayslip.gateway import configuration
 from wayslip.gateway import facts
 from wayslip.gateway import limits
+from wayslip.gateway import quota_accounts
 
 STEP = 0.01
 REPORT = 0.25
@@ -42,7 +42,7 @@
 @dataclasses.dataclass
 class Instance:
     limiter: limits.Limiter
-    accounts: accounts.Accounts
+    quota_accounts: quota_accounts.QuotaAccounts
     name: str
     process: int = 0
     number: int = 0
@@ -102,7 +102,7 @@
     def _patch_time(self):
         with (
             mock.patch.object(limits, "clock", self.clock),
-            mock.patch.object(accounts, "clock", self.clock),
+            mock.patch.object(quota_accounts, "clock", self.clock),
         ):
             yield
 
@@ -114,7 +114,7 @@
         holder = configuration.Holder()
         holder.offer(self._manifest())
         limiter = limits.Limiter(holder, ALLOWANCE)
-        found = accounts.Accounts(holder, limiter, ALLOWANCE)
+        found = quota_accounts.QuotaAccounts(holder, limiter, ALLOWANCE)
         return Instance(limiter, found, name, process, due=self.clock.at)
 
     def _manifest(self):
@@ -210,7 +210,7 @@
                 self._send(holder, instance, self._make_state())
 
     def _make_state(self):
-        seen = facts.Seen(0, 0.0)
+        seen = facts.WatchProgress(0, 0.0)
         return facts.State(
             self.term,
             self.holder,
--- a/tests/stateful/suspect_world.py
+++ b/tests/stateful/suspect_world.py
@@ -156,7 +156,7 @@
         content = self._draw_content()
         record = self.records.setdefault(content, Record())
         quarantine = instance.gateway._quarantine
-        if quarantine.is_condemned(content) and not quarantine.begin_trial(
+        if quarantine.is_blocked(content) and not quarantine.begin_trial(
             content
         ):
             record.refused.append(self.world.now)
@@ -183,7 +183,7 @@
             if one.content in DEADLY:
                 self.records[one.content].ends.append(self.world.now)
             if one.instance in self.world.instances.values():
-                one.instance.gateway._quarantine.note_break(
+                one.instance.gateway._quarantine.note_broken_attempt(
                     engine.endpoint, one.content, one.depth, _refuse
                 )
         self.world.later(self.rng.uniform(0.3, 3.0), engine.start_again)
--- a/tests/stateful/test_detached_orders.py
+++ b/tests/stateful/test_detached_orders.py
@@ -20,7 +20,7 @@
 DISTANCE = 3.0
 SECONDS = 60.0
 COUNT = 4
-KEEP_AWAY = detachment.HOLD_OFF + DISTANCE + lease.TRAVEL
+KEEP_AWAY = detachment.HOLD_OFF_SECONDS + DISTANCE + lease.TRAVEL_SECONDS
 
 
 class Store:
@@ -82,7 +82,7 @@
     def take_report(self, name, echo, cut_off, now):
         self.missing.pop(name, None)
         echoed = echo[1] if echo[0] == self.held else float("-inf")
-        self.words[name] = (now, detachment.Word(echoed, cut_off))
+        self.words[name] = (now, detachment.PeerStatus(echoed, cut_off))
 
     def judge(self, now):
         for name, (heard, _) in list(self.words.items()):
@@ -93,7 +93,7 @@
             self.missing = {
                 n: at
                 for n, at in self.missing.items()
-                if now - at <= detachment.MISSING
+                if now - at <= detachment.MISSING_SECONDS
             }
         if not self.held or not self.doubtful:
             self.state = detachment.NONE
@@ -166,7 +166,7 @@
         if not self.reaches_store(one):
             one.cut_off = True
             return
-        is_silent = self.now - one.heard >= lease.EXPIRY
+        is_silent = self.now - one.heard >= lease.EXPIRY_SECONDS
         if not (one.cut_off or is_silent or one.yielded):
             return
         one.cut_off = False
@@ -179,7 +179,7 @@
                 one.started_until = 0.0
             self.store.take(one.name)
             one.term = one.held = self.store.term
-            one.valid_until = self.now + lease.HOLD
+            one.valid_until = self.now + lease.HOLD_SECONDS
             one.words, one.missing = {}, {}
             one.missing = {
                 i.name: self.now for i in self.instances if i is not one
@@ -191,9 +191,9 @@
             if self.store.holder != one.name or self.store.term != one.held:
                 one.held = 0
                 return
-            one.valid_until = self.now + lease.HOLD
+            one.valid_until = self.now + lease.HOLD_SECONDS
             one.doubtful = False
-        elif self.now > one.valid_until - lease.HOLD + 0.6:
+        elif self.now > one.valid_until - lease.HOLD_SECONDS + 0.6:
             one.doubtful = True
 
     def read_claim(self, one):
@@ -208,7 +208,7 @@
         seen = None
         if holder is not None:
             claim = lease.Claim("e", str(holder), 1)
-            seen = lease.SeenClaim(claim, revision, since)
+            seen = lease.ObservedClaim(claim, revision, since)
         if self.now < max(one.away_until, one.started_until):
             return
         if not lease.may_claim(seen, str(one.name), DISTANCE, self.now):
--- a/tests/stateful/test_order_world.py
+++ b/tests/stateful/test_order_world.py
@@ -47,7 +47,7 @@
     old = engine.entries[0]
     model = min(engine.models)
     for wait in (1.0, 1.1, 0.3, 0.3, 1.0):
-        want = facts.Want("g9", "h", order_engine.SERVICE, model, "a8")
+        want = facts.ItemRequest("g9", "h", order_engine.SERVICE, model, "a8")
         planner.take(want, ("10.0.1.9", 1))
         await asyncio.sleep(wait)
         engine.list(old)
--- a/tests/stateful/test_outage_at_size.py
+++ b/tests/stateful/test_outage_at_size.py
@@ -43,13 +43,13 @@
     if number is None:
         return None
     instance = world.instances[(f"10.0.1.{number}", 1)]
-    return instance.gateway._teller._detaching
+    return instance.gateway._announcer._detached_operation
 
 
 def _stop_and_start(world, number):
     """Stops an instance as planned; another process follows it."""
     instance = world.instances[(f"10.0.1.{number}", 1)]
-    instance.gateway._placement.say_leaving()
+    instance.gateway._placement.announce_leaving()
     world.later(AWAY - 1.1, _end, world, number)
     world.later(AWAY, world.start, number)
 
@@ -70,8 +70,8 @@
         if is_rolling and world.now - began > stops * STOP_GAP:
             stops += 1
             _stop_and_start(world, (holder + stops) % INSTANCES)
-        detaching = _find_detaching(world)
-        if detaching is not None and detaching.is_granted:
+        detached_operation = _find_detaching(world)
+        if detached_operation is not None and detached_operation.is_granted:
             granted += STEP
             first = world.now - began if first is None else first
         await asyncio.sleep(STEP)
--- a/tests/stateful/test_restarts.py
+++ b/tests/stateful/test_restarts.py
@@ -18,7 +18,7 @@
 from wayslip.decisions import fleet
 from wayslip.decisions import inventory
 from wayslip.decisions import lease
-from wayslip.gateway import books
+from wayslip.gateway import tracked_engines
 from wayslip.gateway import view
 
 _OLD = fleet.Endpoint(
@@ -44,20 +44,22 @@
 
 
 def test_report_of_another_start_is_not_taken_in():
-    book = books.Book(_NEW)
+    tracked_engine = tracked_engines.TrackedEngine(_NEW)
     old = fleet.EngineState(3, False, {"m1": frozenset()}, born=5)
-    assert not book.take_state(old, 1.0)
-    assert book.inventory is None
+    assert not tracked_engine.take_state(old, 1.0)
+    assert tracked_engine.inventory is None
     later = fleet.EngineState(0, False, {}, born=12)
-    assert not book.take_state(later, 1.0)
-    assert book.take_state(fleet.EngineState(0, False, {}, born=9), 1.0)
-    assert book.is_certain
+    assert not tracked_engine.take_state(later, 1.0)
+    assert tracked_engine.take_state(
+        fleet.EngineState(0, False, {}, born=9), 1.0
+    )
+    assert tracked_engine.is_certain
 
 
 def test_late_order_is_charged_to_the_next_start():
-    book = books.Book(_OLD)
-    book.note_unanswered(_LOAD, 100.0)
-    after = book.begin_anew(_NEW, 101.0)
+    tracked_engine = tracked_engines.TrackedEngine(_OLD)
+    tracked_engine.note_unanswered(_LOAD, 100.0)
+    after = tracked_engine.begin_anew(_NEW, 101.0)
     after.take_state(fleet.EngineState(0, False, {}, born=9), 101.0)
     assert ("m2", "") in after.charged()
     # It can not be carried out any more once its count has passed.
@@ -66,10 +68,10 @@
 
 
 def test_late_order_is_charged_for_as_long_as_it_may_come():
-    book = books.Book(_OLD)
-    book.inventory = inventory.Inventory(4, frozenset())
-    book.note_unanswered(_LOAD, 100.0)
-    after = book.begin_anew(_NEW, 101.0)
+    tracked_engine = tracked_engines.TrackedEngine(_OLD)
+    tracked_engine.inventory = inventory.Inventory(4, frozenset())
+    tracked_engine.note_unanswered(_LOAD, 100.0)
+    after = tracked_engine.begin_anew(_NEW, 101.0)
     after.take_state(fleet.EngineState(0, False, {}, born=9), 113.0)
     assert ("m2", "") in after.charged()
     after.take_state(fleet.EngineState(0, False, {}, born=9), 116.0)
--- a/tests/stateful/test_book_machine.py
+++ b/tests/stateful/test_tracked_engine_machine.py
@@ -11,7 +11,7 @@
 
 from wayslip.decisions import fleet
 from wayslip.decisions import lease
-from wayslip.gateway import books
+from wayslip.gateway import tracked_engines
 
 MODELS = ("m1", "m2", "m3", "m4")
 ADAPTERS = ("a1", "a2", "a3")
@@ -83,7 +83,7 @@
         self.entry_at = 0
         self.late = []
         self.claimed = None
-        self.book = None
+        self.tracked_engine = None
         self.change_holder()
 
     def entry(self):
@@ -116,13 +116,13 @@
     def list_follows(self, skip):
         # An old heartbeat may arrive after a newer one.
         self.entry_at = max(len(self.states) - 1 - skip, 0)
-        self.book.take_entry(self.entry(), self.now)
+        self.tracked_engine.take_entry(self.entry(), self.now)
 
     @stateful.rule()
     def change_holder(self):
-        self.book = books.Book(self.entry())
-        self.book.take_entry(self.entry(), self.now)
-        self.book.pending = self.claimed
+        self.tracked_engine = tracked_engines.TrackedEngine(self.entry())
+        self.tracked_engine.take_entry(self.entry(), self.now)
+        self.tracked_engine.pending = self.claimed
 
     # What a holder does
 
@@ -134,9 +134,9 @@
             index -= 1
             age -= 1
         state = self.states[index]
-        if not self.book.take_state(state, self.now):
+        if not self.tracked_engine.take_state(state, self.now):
             return
-        pending = self.book.pending
+        pending = self.tracked_engine.pending
         if pending is not None and state.orders > pending.orders:
             self.settle(pending)
 
@@ -144,12 +144,12 @@
         return self.now - self.replaced_at[index] < REPORT_LAG
 
     def settle(self, pending):
-        self.book.pending = None
-        self.book.note_taken(pending, self.now)
+        self.tracked_engine.pending = None
+        self.tracked_engine.note_taken(pending, self.now)
 
     def may_order(self):
-        book = self.book
-        return book.pending is None and book.is_certain
+        tracked_engine = self.tracked_engine
+        return tracked_engine.pending is None and tracked_engine.is_certain
 
     @stateful.precondition(may_order)
     @stateful.rule(
@@ -159,15 +159,15 @@
         way=st.sampled_from(("answered", "lost_answer", "late")),
     )
     def order(self, model, adapter, is_load, way):
-        charged = self.book.charged()
+        charged = self.tracked_engine.charged()
         if is_load and not self.fits(charged, model, adapter):
             return
         action = lease.Action.LOAD if is_load else lease.Action.UNLOAD
         if not is_load and (model, adapter) not in charged:
             return
-        count = self.book.inventory.orders
+        count = self.tracked_engine.inventory.orders
         pending = lease.Pending("e", count, action, model, adapter)
-        self.claimed = self.book.pending = pending
+        self.claimed = self.tracked_engine.pending = pending
         if way == "late":
             self.late.append(pending)
             return
@@ -175,11 +175,11 @@
         self.note_truth()
         if way == "lost_answer":
             return
-        self.book.pending = None
+        self.tracked_engine.pending = None
         if is_taken:
             self.settle(pending)
         else:
-            self.book.note_unclear()
+            self.tracked_engine.note_unclear()
 
     def fits(self, charged, model, adapter):
         if (model, adapter) in charged:
@@ -189,11 +189,11 @@
             return (model, "") in charged and places < PLACES
         return sum(1 for _, a in charged if not a) < ROOM
 
-    @stateful.precondition(lambda self: self.book.pending is not None)
+    @stateful.precondition(lambda self: self.tracked_engine.pending is not None)
     @stateful.rule(is_lost=st.booleans())
     def repeat(self, is_lost):
         if not is_lost:
-            self.engine.take(self.book.pending)
+            self.engine.take(self.tracked_engine.pending)
             self.note_truth()
 
     @stateful.invariant()
