--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -83,15 +83,15 @@
         sent = [s for s in self._sent.get(name, ()) if s.at > at]
         self._sent[name] = sent
         # Peers tell what they sent with a lag of a poll period.
-        told_until = self._pool.clock.now - fake.REPORT_LAG / 2
+        reported_until = self._pool.clock.now - fake.REPORT_LAG / 2
         told = [
             s
             for p in self.peers
             for s in p._sent.get(name, ())
-            if at < s.at <= told_until
+            if at < s.at <= reported_until
         ]
         peers = len(self.peers)
-        unseen = routing.mirror_sends(sent, told_until, peers)
+        unseen = routing.estimate_unseen(sent, reported_until, peers)
         known = sorted((*sent, *told, *unseen), key=lambda s: s.at)
         return routing.Candidate(
             name=name,
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -81,7 +81,7 @@
         for address, node in list(self.nodes.items()):
             self._deliver(address, node.tick(self.now))
 
-    def _deliver(self, source: str, outs: list[membership.Out]) -> None:
+    def _deliver(self, source: str, outs: list[membership.Outgoing]) -> None:
         todo = collections.deque((source, o) for o in outs)
         while todo:
             sender, out = todo.popleft()
--- a/src/wayslip/decisions/copies.py
+++ b/src/wayslip/decisions/copies.py
@@ -374,7 +374,7 @@
     for loss, name in world.list_losses(engine):
         victims.append(name)
         total += loss
-        missing -= world.pool.weigh(name)
+        missing -= world.pool.find_memory_mb(name)
         missing -= engine.adapters_mb.get(name, 0.0)
         if missing <= 0:
             return tuple(victims), total
--- a/src/wayslip/decisions/lease.py
+++ b/src/wayslip/decisions/lease.py
@@ -29,7 +29,7 @@
 # Seconds after the start of a claim's write in which its order must leave.
 SEND_LIMIT_SECONDS = 0.5
 # Seconds that an order may take on its way.
-TRAVEL_SECONDS = 0.3
+TRANSIT_SECONDS = 0.3
 # Terms of one era of the store.
 _TERMS = 1_000_000
 
@@ -89,7 +89,7 @@
 
 
 def next_claim(
-    seen: ObservedClaim | None, holder: str, pending: Pending, least_token: int
+    seen: ObservedClaim | None, holder: str, pending: Pending, min_token: int
 ) -> Claim:
     """Returns the claim to write before an order.
 
@@ -97,18 +97,18 @@
         seen: The claim as known, None if there is none.
         holder: Who gives the order.
         pending: The order.
-        least_token: The store's revision at which the holder took the lease.
+        min_token: The store's revision at which the holder took the lease.
             No two holders share one and later ones are higher, so tokens
             rise even where a claim was removed and made anew.
     """
     if seen is None:
-        return Claim(pending.endpoint, holder, least_token, pending)
+        return Claim(pending.endpoint, holder, min_token, pending)
     token = seen.claim.token
     if seen.claim.holder != holder:
         token += 1
     # Also a claim of our own: others may have ordered the engine between two
     # terms of ours without a claim, with higher tokens.
-    token = max(token, least_token)
+    token = max(token, min_token)
     return Claim(pending.endpoint, holder, token, pending)
 
 
@@ -149,7 +149,7 @@
     """
     if seen is None or seen.claim.holder == holder:
         return True
-    return now - seen.since >= SEND_LIMIT_SECONDS + distance + TRAVEL_SECONDS
+    return now - seen.since >= SEND_LIMIT_SECONDS + distance + TRANSIT_SECONDS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/src/wayslip/decisions/load_spreading.py
+++ b/src/wayslip/decisions/load_spreading.py
@@ -16,7 +16,7 @@
 from collections.abc import Sequence
 
 
-def share_out(costs: Sequence[float], unseen: float) -> list[float]:
+def split_load(costs: Sequence[float], unseen: float) -> list[float]:
     """Returns each endpoint's share of what is coming; they sum to one.
 
     Args:
--- a/src/wayslip/decisions/manifest.py
+++ b/src/wayslip/decisions/manifest.py
@@ -61,7 +61,7 @@
     loads_per_s: float
     models: Mapping[str, Model]
 
-    def weigh(self, model: str, adapter: str = "") -> float:
+    def find_memory_mb(self, model: str, adapter: str = "") -> float:
         """Returns the memory of a model or adapter, megabytes.
 
         An engine may hold one that is not named here any more. It takes as
@@ -173,7 +173,7 @@
     def caller_priorities(self) -> tuple[int, ...]:
         """Priorities of organisations, each once, the most urgent first."""
         known = {
-            organisations_module.USUAL_PRIORITY
+            organisations_module.DEFAULT_PRIORITY
             if o.priority is None
             else o.priority
             for o in self.organisations
--- a/src/wayslip/decisions/membership.py
+++ b/src/wayslip/decisions/membership.py
@@ -97,7 +97,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Out:
+class Outgoing:
     """A message and the address it goes to."""
 
     address: str
@@ -175,7 +175,7 @@
         self._members[self.me.name] = self.me
         self._spread(self.me)
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[Outgoing]:
         """Returns the messages that are due; call it several times a period."""
         self._expire(now)
         out = self._chase(now)
@@ -184,7 +184,9 @@
             out += self._probe_next(now)
         return out
 
-    def receive(self, message: Message, source: str, now: float) -> list[Out]:
+    def receive(
+        self, message: Message, source: str, now: float
+    ) -> list[Outgoing]:
         """Returns the answers to a message from an address."""
         for member in message.news:
             self.merge(member, now)
@@ -233,7 +235,7 @@
 
     # Probing
 
-    def _probe_next(self, now: float) -> list[Out]:
+    def _probe_next(self, now: float) -> list[Outgoing]:
         if self._rng.random() < _REJOIN_ODDS:
             lost = self._find_lost()
             if lost:
@@ -270,13 +272,13 @@
         self._rng.shuffle(self._order)
         return self._members[self._order.pop()] if self._order else None
 
-    def _send(self, address: str, pending: _Pending) -> Out:
+    def _send(self, address: str, pending: _Pending) -> Outgoing:
         self._seq += 1
         self._pending[self._seq] = pending
         return self._out(address, Probe.PING, self._seq, about=pending.name)
 
-    def _chase(self, now: float) -> list[Out]:
-        out: list[Out] = []
+    def _chase(self, now: float) -> list[Outgoing]:
+        out: list[Outgoing] = []
         for seq, pending in list(self._pending.items()):
             waited = now - pending.sent
             if waited >= self._period and not pending.relayed:
@@ -287,7 +289,7 @@
                 self._suspect(pending.name, now)
         return out
 
-    def _ask_helpers(self, seq: int, pending: _Pending) -> list[Out]:
+    def _ask_helpers(self, seq: int, pending: _Pending) -> list[Outgoing]:
         target = self._members.get(pending.name)
         if target is None:
             return []
@@ -297,7 +299,7 @@
             for h in helpers
         ]
 
-    def _settle(self, message: Message, now: float) -> list[Out]:
+    def _settle(self, message: Message, now: float) -> list[Outgoing]:
         pending = self._pending.pop(message.seq, None)
         if pending is None:
             return []
@@ -340,9 +342,11 @@
         seq: int,
         subject: str = "",
         about: str = "",
-    ) -> Out:
+    ) -> Outgoing:
         news = self._take_news(about)
-        return Out(address, Message(probe, seq, self.me.name, news, subject))
+        return Outgoing(
+            address, Message(probe, seq, self.me.name, news, subject)
+        )
 
     def _take_news(self, about: str) -> tuple[Member, ...]:
         fresh = sorted(self._sends_left, key=lambda n: -self._sends_left[n])
--- a/src/wayslip/decisions/organisations.py
+++ b/src/wayslip/decisions/organisations.py
@@ -11,7 +11,7 @@
 
 # Of an organisation that has none: what engines take where none is told, from
 # the operators' pages.
-USUAL_PRIORITY = 5
+DEFAULT_PRIORITY = 5
 
 
 class Unit(enum.StrEnum):
--- a/src/wayslip/decisions/permits.py
+++ b/src/wayslip/decisions/permits.py
@@ -16,16 +16,16 @@
 BURST = 2.0
 # A place is promised for this far ahead at most, seconds, or for the next one:
 # a holder's promises are kept while its successor gives places out anew.
-PROMISE_SECONDS = 1.0
+MAX_ADVANCE_SECONDS = 1.0
 # An endpoint that wants nothing at all is asked so often, requests a second:
 # only its answers tell when the limit ends.
-LEAST_RATE = 0.1
+MIN_RATE = 0.1
 # Part of the places that our own calls may take: reports and orders. They come
 # several times a second while an order is under way.
-CALLS_SHARE = 0.25
+INTERNAL_CALLS_SHARE = 0.25
 # While no holder is heard about so many instances use a limited endpoint, each
 # with an even part. Together they save up so many places at most.
-UNHEARD_MOST = 3.0
+MAX_USERS_WITHOUT_HOLDER = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
     wait: float = 0.0
 
 
-FREE = Verdict(True)
+GRANTED = Verdict(True)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -68,12 +68,12 @@
         What went there before the limit was named, or by a holder before,
         counts too.
         """
-        return cls(max(rate, LEAST_RATE), quota.Level(0.0, now), burst)
+        return cls(max(rate, MIN_RATE), quota.Level(0.0, now), burst)
 
     def change_rate(self, rate: float, now: float) -> "PermitBucket":
         """Returns the account under another limit from now on."""
         settled = self._settle(now)
-        return dataclasses.replace(settled, rate=max(rate, LEAST_RATE))
+        return dataclasses.replace(settled, rate=max(rate, MIN_RATE))
 
     def _settle(self, now: float) -> "PermitBucket":
         level = self.level.settle(self.rate, self.burst, now)
@@ -93,14 +93,14 @@
         """
         settled = self._settle(now)
         wait = max(1.0 - settled.level.units, 0.0) / self.rate
-        longest = max(PROMISE_SECONDS, 1.0 / self.rate)
+        longest = max(MAX_ADVANCE_SECONDS, 1.0 / self.rate)
         if wait > min(max_wait, longest):
             return settled, Verdict(False, wait)
         level = settled.level.spend(1.0)
         return dataclasses.replace(settled, level=level), Verdict(True, wait)
 
 
-def find_part(rate: float, instances: int, draw: float) -> float | None:
+def find_share(rate: float, instances: int, draw: float) -> float | None:
     """Returns the part of a limit that an instance keeps to by itself.
 
     Args:
@@ -111,7 +111,7 @@
     Returns:
         None if the endpoint is left to other instances.
     """
-    users = min(UNHEARD_MOST, float(instances))
+    users = min(MAX_USERS_WITHOUT_HOLDER, float(instances))
     if draw >= users / instances:
         return None
     return rate / users
--- a/src/wayslip/decisions/reading.py
+++ b/src/wayslip/decisions/reading.py
@@ -39,8 +39,8 @@
 
     def __init__(self) -> None:
         self._rates: dict[str, float] = {}
-        self._untold: collections.deque[tuple[str, float]] = collections.deque(
-            maxlen=_SAMPLES_MOST
+        self._unreported: collections.deque[tuple[str, float]] = (
+            collections.deque(maxlen=_SAMPLES_MOST)
         )
 
     def learn(self, model: str, tokens: int, seconds: float) -> None:
@@ -54,7 +54,7 @@
         if tokens < _LEAST_TOKENS:
             return
         sample = tokens / max(seconds - _OVERHEAD, _LEAST_SECONDS)
-        self._untold.append((model, round(sample)))
+        self._unreported.append((model, round(sample)))
         self.note(model, sample)
 
     def note(self, model: str, sample: float) -> None:
@@ -63,13 +63,13 @@
         weight = _FASTER_WEIGHT if sample > known else _SLOWER_WEIGHT
         self._rates[model] = known + (sample - known) * weight
 
-    def take_untold(self) -> list[tuple[str, float]]:
+    def take_unreported(self) -> list[tuple[str, float]]:
         """Returns own samples that were not told yet, by model."""
-        samples = list(self._untold)
-        self._untold.clear()
+        samples = list(self._unreported)
+        self._unreported.clear()
         return samples
 
-    def adopt(self, model: str, rate: float) -> None:
+    def set_rate(self, model: str, rate: float) -> None:
         """Takes over what was learned from all samples, tokens a second."""
         self._rates[model] = rate
 
--- a/src/wayslip/decisions/retry_pacing.py
+++ b/src/wayslip/decisions/retry_pacing.py
@@ -14,7 +14,7 @@
 
 # Attempts a second for one purpose, over all instances: the first success is
 # then 100 ms late at most, against 250 ms between the holder's statements.
-ATTEMPTS_MOST = 10.0
+MAX_ATTEMPTS_PER_SECOND = 10.0
 
 
 def find_pause(usual: float, instances: int, is_heard: bool) -> float:
@@ -28,4 +28,4 @@
     """
     if not is_heard:
         return usual
-    return max(usual, instances / ATTEMPTS_MOST)
+    return max(usual, instances / MAX_ATTEMPTS_PER_SECOND)
--- a/src/wayslip/decisions/routing.py
+++ b/src/wayslip/decisions/routing.py
@@ -124,8 +124,8 @@
     return max(backlog - rate * (now - at), 0.0)
 
 
-def mirror_sends(
-    sent: Sequence[Sent], told_until: float, peers: int
+def estimate_unseen(
+    sent: Sequence[Sent], reported_until: float, peers: int
 ) -> list[Sent]:
     """Returns what peers are taken to have sent since they last told.
 
@@ -136,7 +136,7 @@
     return [
         dataclasses.replace(s, tokens=s.tokens * peers)
         for s in sent
-        if s.at > told_until
+        if s.at > reported_until
     ]
 
 
--- a/src/wayslip/decisions/selection.py
+++ b/src/wayslip/decisions/selection.py
@@ -100,7 +100,7 @@
     rested = [c for c in candidates if not c.is_suspended] or candidates
     if not rested:
         return None
-    shares = load_spreading.share_out([_rate(c) for c in rested], unseen)
+    shares = load_spreading.split_load([_rate(c) for c in rested], unseen)
     best = rested[load_spreading.draw(shares, draw)]
     return Choice(
         best.name, predict_wait(best), best.in_flight / max(best.slots, 1)
--- a/src/wayslip/decisions/suspicion.py
+++ b/src/wayslip/decisions/suspicion.py
@@ -22,20 +22,20 @@
 # A content is condemned when so many attempts at it broke off with endpoints,
 # when it is this deep in suspicion, or one less if it alone was on its way to
 # those that ended.
-_CONDEMNED_ATTEMPTS = 3
-_CONDEMNED_DEPTH = 3
-_ALONE_DEPTH = 2
+_BLOCKING_ATTEMPTS = 3
+_BLOCKING_DEPTH = 3
+_SOLE_SUSPECT_DEPTH = 2
 # What is condemned after one end only is tried again after this, seconds, and
 # so many times as late for each further step: so long a common request can be
 # refused that is on its way to endpoints which end before any was answered.
-_TRIAL_SECONDS = 30.0
-_TRIAL_FACTOR = 4
+_PROBE_SECONDS = 30.0
+_PROBE_FACTOR = 4
 # How long a mark is kept, seconds: whoever asks again and again for longer
 # waits in between, and an engine may be mended meanwhile.
-KEPT_SECONDS = 600.0
+RETENTION_SECONDS = 600.0
 # Contents that are remembered, those under least suspicion go first. Each takes
 # some 300 bytes.
-_CONTENTS_MOST = 4000
+_MAX_CONTENTS = 4000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -141,12 +141,12 @@
         if suspect is None:
             return False
         is_common = content in self._common
-        if suspect.attempts >= _CONDEMNED_ATTEMPTS and not is_common:
+        if suspect.attempts >= _BLOCKING_ATTEMPTS and not is_common:
             return True
         depth = suspect.depth
-        if depth >= _CONDEMNED_DEPTH:
+        if depth >= _BLOCKING_DEPTH:
             return True
-        return depth >= _ALONE_DEPTH and self._is_alone(content)
+        return depth >= _SOLE_SUSPECT_DEPTH and self._is_alone(content)
 
     def _is_alone(self, content: bytes) -> bool:
         """Whether no other content that came again shares an end with it."""
@@ -154,11 +154,11 @@
             other
             for start in self._suspects[content].crash_records
             for other in self._at_start[start]
-            if self.find_depth(other) >= _ALONE_DEPTH
+            if self.find_depth(other) >= _SOLE_SUSPECT_DEPTH
         }
         return rivals == {content}
 
-    def may_be_tried(self, content: bytes, now: float) -> bool:
+    def may_probe(self, content: bytes, now: float) -> bool:
         """Whether a condemned content should be tried once more.
 
         It may be a common one that was on its way to endpoints that ended and
@@ -167,7 +167,7 @@
         suspect = self._suspects.get(content)
         if suspect is None:
             return False
-        pause = _TRIAL_SECONDS * _TRIAL_FACTOR ** (suspect.depth - 1)
+        pause = _PROBE_SECONDS * _PROBE_FACTOR ** (suspect.depth - 1)
         return now - suspect.since >= pause
 
     def list_blocked(self) -> list[bytes]:
@@ -179,11 +179,11 @@
         suspect = self._suspects.get(content)
         return suspect.list_crash_records() if suspect else []
 
-    def list_contents(self, least_depth: int) -> list[bytes]:
+    def list_contents(self, min_depth: int) -> list[bytes]:
         """Returns the contents that are at least so deep in suspicion."""
-        return [c for c, s in self._suspects.items() if s.depth >= least_depth]
+        return [c for c, s in self._suspects.items() if s.depth >= min_depth]
 
-    def list_open(self, since: float) -> list[bytes]:
+    def list_to_share(self, since: float) -> list[bytes]:
         """Returns the contents that all should know of.
 
         Those first seen later, those that came again, and the condemned.
@@ -203,7 +203,7 @@
         suspect = self._suspects.get(content)
         if suspect is None:
             return 0.0
-        return max(suspect.since + KEPT_SECONDS - now, 0.0)
+        return max(suspect.since + RETENTION_SECONDS - now, 0.0)
 
     # What comes to be known
 
@@ -255,7 +255,7 @@
 
         It is cleared, so that nobody who knew it later brings it back.
         """
-        limit = now - KEPT_SECONDS
+        limit = now - RETENTION_SECONDS
         old = [c for c, s in self._suspects.items() if s.since <= limit]
         for content in old:
             self.clear(self.list_crash_records(content), now)
@@ -283,7 +283,7 @@
             del self._at_start[start]
 
     def _keep_bounds(self) -> None:
-        over = len(self._suspects) - _CONTENTS_MOST
+        over = len(self._suspects) - _MAX_CONTENTS
         if over > 0:
             # Sorted is stable: of those as deep the oldest go first.
             ranked = sorted(
@@ -291,7 +291,7 @@
             )
             for content in ranked[:over]:
                 self._drop_all(content)
-        while len(self._cleared) > _CONTENTS_MOST:
+        while len(self._cleared) > _MAX_CONTENTS:
             del self._cleared[next(iter(self._cleared))]
-        while len(self._common) > _CONTENTS_MOST:
+        while len(self._common) > _MAX_CONTENTS:
             del self._common[next(iter(self._common))]
--- a/src/wayslip/decisions/urgency.py
+++ b/src/wayslip/decisions/urgency.py
@@ -67,7 +67,7 @@
     routes = manifest.route_priorities
     mine = caller.priority
     if mine is None:
-        mine = organisations.USUAL_PRIORITY
+        mine = organisations.DEFAULT_PRIORITY
     # A route of an older configuration may have a priority that is not listed.
     first = bisect.bisect_left(callers, mine)
     place = first * len(routes) + bisect.bisect_left(routes, route.priority)
--- a/src/wayslip/decisions/wait_policies.py
+++ b/src/wayslip/decisions/wait_policies.py
@@ -18,7 +18,7 @@
 _UNKNOWN_SHARE = 0.2
 # The same for a model that is known to be there by then: it can still be
 # answered in time.
-SURE_SHARE = 0.6
+EXPECTED_SHARE = 0.6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -51,7 +51,7 @@
 @WAIT_POLICIES.register("target")
 def wait_for_target(situation: Situation) -> float:
     """Waits while the answer can still come within the target."""
-    sure = SURE_SHARE * situation.target - situation.waited
+    sure = EXPECTED_SHARE * situation.target - situation.waited
     if situation.lacks_adapter_only:
         # An adapter takes some ten milliseconds. Until everybody has heard of
         # it a large fleet takes longer than the usual patience: with 195
--- a/src/wayslip/entry/view.py
+++ b/src/wayslip/entry/view.py
@@ -182,8 +182,8 @@
             cached = routing.expect_cached(cached, prompt.blocks)
         since = tracked.asked_at
         fresh = [s for s in told.get(name, ()) if s.at > since]
-        told_until = clock.now() - self._settings.routing.poll_seconds
-        unseen = routing.mirror_sends(tracked.sent, told_until, peers)
+        reported_until = clock.now() - self._settings.routing.poll_seconds
+        unseen = routing.estimate_unseen(tracked.sent, reported_until, peers)
         known = sorted((*tracked.sent, *fresh, *unseen), key=lambda s: s.at)
         return routing.Candidate(
             name=name,
--- a/src/wayslip/gateway/backoff.py
+++ b/src/wayslip/gateway/backoff.py
@@ -89,7 +89,7 @@
         """
         key = (job.service.name, job.traits.model)
         first = clock.now() + rest
-        space = self._count_instances() / max(limit, permits.LEAST_RATE)
+        space = self._count_instances() / max(limit, permits.MIN_RATE)
         at = max(first, self._returns.pop(key, 0.0) + space)
         if at > first + _RETURN_MOST:
             at = first + random.uniform(0, _RETURN_MOST)
--- a/src/wayslip/gateway/claims.py
+++ b/src/wayslip/gateway/claims.py
@@ -22,7 +22,7 @@
 
     Attributes:
         known: Claims as they were read, written, or told by another holder.
-        least_token: The store's position at which this instance took the
+        min_token: The store's position at which this instance took the
             lease.
         is_detached: Whether we may order without the store; set by who knows.
         holds_lease: Whether we hold the lease for sure; set by who knows.
@@ -34,7 +34,7 @@
         self._options = options
         self._store = store
         self.known: dict[str, lease.ObservedClaim] = {}
-        self.least_token = 0
+        self.min_token = 0
         self.is_detached: Callable[[], bool] = lambda: False
         self.holds_lease: Callable[[], bool] = lambda: False
         # Until then a holder before us may still order without the store, as
@@ -75,12 +75,12 @@
         """
         if self.holds_lease() or self.is_detached():
             return
-        distance = self._options.bounds.lease + lease.TRAVEL_SECONDS
+        distance = self._options.bounds.lease + lease.TRANSIT_SECONDS
         self._returned_until = clock.now() + lease.SEND_LIMIT_SECONDS + distance
 
     def _find_end_of_detached_orders(self) -> float:
         """Returns until when a holder heard now may be too near with orders."""
-        distance = self._options.bounds.lease + lease.TRAVEL_SECONDS
+        distance = self._options.bounds.lease + lease.TRANSIT_SECONDS
         return clock.now() + detachment.HOLD_OFF_SECONDS + distance
 
     async def read_all(self) -> None:
@@ -133,7 +133,7 @@
             return None
         seen = self.known.get(endpoint)
         claim = lease.next_claim(
-            seen, self._options.name, pending, self.least_token
+            seen, self._options.name, pending, self.min_token
         )
         if self.is_detached():
             return claim
--- a/src/wayslip/gateway/endpoint_chooser.py
+++ b/src/wayslip/gateway/endpoint_chooser.py
@@ -232,5 +232,7 @@
     then for as long as the request may wait for a model that is on its way.
     """
     left = job.deadline - job.began
-    longest = left * _RETURN_MOST + job.route.target * wait_policies.SURE_SHARE
+    longest = (
+        left * _RETURN_MOST + job.route.target * wait_policies.EXPECTED_SHARE
+    )
     return 0.0 < _find_load_time(job) <= longest
--- a/src/wayslip/gateway/limits.py
+++ b/src/wayslip/gateway/limits.py
@@ -52,7 +52,7 @@
         self._shares: dict[str, quota_module.Share] = {}
         self._sums: dict[str, _Sums] = {}
         self._own: demand_module.Rates[str] = demand_module.Rates(
-            quota_module.FADING_SECONDS
+            quota_module.DEMAND_DECAY_SECONDS
         )
         self._words: dict[str, quota_module.QuotaLevel] = {}
         self._term = 0
@@ -107,19 +107,19 @@
     ) -> quota_module.Share:
         """Returns the share as it is now, under the quota in force."""
         share = self._shares.get(name)
-        burst = self._allowance.stretch(quota.rate, quota.burst)
+        burst = self._allowance.extend_burst(quota.rate, quota.burst)
         if share is None:
             share = quota_module.Share.begin(quota.rate, burst, now)
             word = self._find_word(name, quota)
             if word is not None:
-                share = share.hear(word, self._heard_at or now)
+                share = share.receive(word, self._heard_at or now)
         elif (share.rate, share.burst) != (quota.rate, burst):
             credit = min(share.credit, burst)
             share = dataclasses.replace(
                 share, rate=quota.rate, burst=burst, credit=credit
             )
         own = self._own.get(name, now)
-        return dataclasses.replace(share.settle(now), own=own)
+        return dataclasses.replace(share.settle(now), local_demand=own)
 
     def _find_word(
         self, name: str, quota: organisations.Quota
@@ -127,7 +127,7 @@
         """Returns what was told; an organisation not told of has its burst."""
         if self._heard_at is None:
             return None
-        burst = self._allowance.stretch(quota.rate, quota.burst)
+        burst = self._allowance.extend_burst(quota.rate, quota.burst)
         return self._words.get(name, quota_module.QuotaLevel(burst, 0.0))
 
     # With the holder
@@ -154,7 +154,7 @@
             word = self._find_word(one.name, one.quota)
             assert word is not None
             found = self._find_share(one.name, one.quota, now)
-            self._shares[one.name] = found.hear(word, now)
+            self._shares[one.name] = found.receive(word, now)
 
     @property
     def is_report_due(self) -> bool:
@@ -163,10 +163,10 @@
         if now - self._reported_at < _HASTE_SECONDS:
             return False
         return any(
-            share.is_free
-            and share.word is not None
+            share.is_unrestricted
+            and share.announced is not None
             and self._sums[name].unreported
-            > share.word.level * _UNREPORTED_PART
+            > share.announced.level * _UNREPORTED_PART
             for name, share in self._shares.items()
         )
 
--- a/src/wayslip/gateway/members.py
+++ b/src/wayslip/gateway/members.py
@@ -137,7 +137,7 @@
     def adopt_readings(self, readings: tuple[facts.Reading, ...]) -> None:
         """Takes over what the holder learned from all samples."""
         for known in readings:
-            self._readings.adopt(known.model, known.rate)
+            self._readings.set_rate(known.model, known.rate)
 
     def adopt(self, rates: tuple[facts.Rate, ...]) -> None:
         """Takes over the demand as the holder tells it, and what is owed."""
--- a/src/wayslip/gateway/permit_broker.py
+++ b/src/wayslip/gateway/permit_broker.py
@@ -167,7 +167,7 @@
         """
         limit = self._words.find_limit(endpoint.start)
         if limit is None:
-            return permits.FREE
+            return permits.GRANTED
         verdict, source = await self._decide(endpoint.start, limit, max_wait)
         logs.event(
             _LOG,
@@ -223,7 +223,7 @@
     ) -> permits.Verdict:
         """Takes a place of our own part of a limit."""
         draw = _draw(self._name, start)
-        part = permits.find_part(limit, self._count_instances(), draw)
+        part = permits.find_share(limit, self._count_instances(), draw)
         if part is None:
             return permits.Verdict(False, _LEFT_SECONDS)
         return self._own.take(start, part, max_wait)
@@ -263,7 +263,7 @@
         limit = self._words.find_limit(endpoint.start)
         if limit is None:
             return True
-        share = max(limit, permits.LEAST_RATE) * permits.CALLS_SHARE
+        share = max(limit, permits.MIN_RATE) * permits.INTERNAL_CALLS_SHARE
         may_call = (
             self._calls.take(endpoint.start, share, 0.0).is_granted
             and self._given.take(endpoint.start, limit, 0.0).is_granted
--- a/src/wayslip/gateway/placement.py
+++ b/src/wayslip/gateway/placement.py
@@ -253,7 +253,7 @@
             self._is_leaving,
             tuple(
                 facts.Reading(*sample)
-                for sample in self._view.reading.take_untold()
+                for sample in self._view.reading.take_unreported()
             ),
             self._limiter.list_spendings(),
         )
--- a/src/wayslip/gateway/planner.py
+++ b/src/wayslip/gateway/planner.py
@@ -97,7 +97,7 @@
         self._order_sender.tracked_engines.clear()
         self._follow_list()
         self._held = self._find_held()
-        self._order_sender.claims.least_token = self._leadership.revision
+        self._order_sender.claims.min_token = self._leadership.revision
         if not self._leadership.follows_another:
             self._order_sender.claims.note_no_predecessor()
         self._buckets.clear()
--- a/src/wayslip/gateway/planner_inputs.py
+++ b/src/wayslip/gateway/planner_inputs.py
@@ -19,7 +19,7 @@
     total = 0.0
     adapters: dict[str, float] = {}
     for model, adapter in tracked_engine.charged():
-        size = pool.weigh(model, adapter)
+        size = pool.find_memory_mb(model, adapter)
         total += size
         if adapter:
             adapters[model] = adapters.get(model, 0.0) + size
--- a/src/wayslip/gateway/quarantine.py
+++ b/src/wayslip/gateway/quarantine.py
@@ -131,7 +131,7 @@
         now = clock.now()
         if not self._leadership.is_held:
             return False
-        if not self._suspicion.may_be_tried(content, now):
+        if not self._suspicion.may_probe(content, now):
             return False
         if now - self._tried.get(content, float("-inf")) < _TRIAL_PAUSE:
             return False
@@ -320,7 +320,7 @@
         if now - self._told_at < _TELL_SECONDS:
             return
         self._told_at = now
-        contents = self._suspicion.list_open(now - _OPEN_SECONDS)
+        contents = self._suspicion.list_to_share(now - _OPEN_SECONDS)
         crash_records = [
             m for c in contents for m in self._suspicion.list_crash_records(c)
         ]
--- a/src/wayslip/gateway/quota_accounts.py
+++ b/src/wayslip/gateway/quota_accounts.py
@@ -63,7 +63,7 @@
         self._limiter = limiter
         self._levels: dict[str, quota_module.Level] = {}
         self._demand: demand_module.Rates[str] = demand_module.Rates(
-            quota_module.FADING_SECONDS
+            quota_module.DEMAND_DECAY_SECONDS
         )
         self._members: dict[str, _Member] = {}
         self._settled_at = 0.0
@@ -87,7 +87,7 @@
         now = clock.now()
         member = self._members.get(report.instance)
         if member is None or member.process != report.process:
-            rates = demand_module.Rates[str](quota_module.FADING_SECONDS)
+            rates = demand_module.Rates[str](quota_module.DEMAND_DECAY_SECONDS)
             member = _Member(report.process, -1, now, {}, rates)
             self._members[report.instance] = member
         if report.number <= member.number:
@@ -133,7 +133,7 @@
         quota = self._quotas().get(name)
         if quota is None:
             return 0.0
-        burst = self._allowance.stretch(quota.rate, quota.burst)
+        burst = self._allowance.extend_burst(quota.rate, quota.burst)
         if self._limiter.words:
             return burst
         return min(quota.rate * (now - self._began_at), burst)
@@ -155,7 +155,7 @@
         found = []
         for name, level in self._levels.items():
             rate = quotas[name].rate
-            burst = self._allowance.stretch(rate, quotas[name].burst)
+            burst = self._allowance.extend_burst(rate, quotas[name].burst)
             settled = level.settle(rate, burst, now)
             self._levels[name] = settled
             demand = self._demand.get(name, now)
@@ -176,9 +176,9 @@
             level = self._levels.get(name)
             if level is None:
                 continue
-            burst = self._allowance.stretch(quota.rate, quota.burst)
+            burst = self._allowance.extend_burst(quota.rate, quota.burst)
             demand = self._demand.get(name, now)
-            low = quota_module.find_low(burst, demand)
+            low = quota_module.find_low_level(burst, demand)
             units = level.settle(quota.rate, burst, now).units
             if units <= low < before.get(name, burst):
                 return True
--- a/src/wayslip/peers/node.py
+++ b/src/wayslip/peers/node.py
@@ -253,7 +253,7 @@
             outs = self._push_targets(self._settings.peers.fanout)
         self._send_all(outs)
 
-    def _push_targets(self, count: int) -> list[membership_module.Out]:
+    def _push_targets(self, count: int) -> list[membership_module.Outgoing]:
         message = membership_module.Message(
             membership_module.Probe.ACK,
             0,
@@ -261,7 +261,7 @@
             (self._membership.me,),
         )
         return [
-            membership_module.Out(m.address, message)
+            membership_module.Outgoing(m.address, message)
             for m in self._membership.pick(count)
         ]
 
@@ -273,7 +273,7 @@
                 self._fresh[fact_id] = (fact, left - 1)
         return tuple(fact for _, (fact, _) in chosen)
 
-    def _send_all(self, outs: list[membership_module.Out]) -> None:
+    def _send_all(self, outs: list[membership_module.Outgoing]) -> None:
         for out in outs:
             with self._lock:
                 fresh = self._take_fresh()
--- a/tests/decisions/test_lease.py
+++ b/tests/decisions/test_lease.py
@@ -12,19 +12,19 @@
 def test_first_claim_begins_at_the_revision_of_the_lease():
     # A claim that was removed and made anew must not begin at 1 again:
     # an engine that lapsed from the list and came back had seen higher ones.
-    claim = lease.next_claim(None, "g2", PENDING, least_token=812)
+    claim = lease.next_claim(None, "g2", PENDING, min_token=812)
     assert claim.token == 812
 
 
 def test_token_rises_with_every_change_of_holder():
-    claim = lease.next_claim(seen("g1", 900), "g2", PENDING, least_token=812)
+    claim = lease.next_claim(seen("g1", 900), "g2", PENDING, min_token=812)
     assert claim.token == 901
-    claim = lease.next_claim(seen("g1", 500), "g2", PENDING, least_token=812)
+    claim = lease.next_claim(seen("g1", 500), "g2", PENDING, min_token=812)
     assert claim.token == 812
 
 
 def test_token_stays_with_its_holder():
-    claim = lease.next_claim(seen("g1", 901), "g1", PENDING, least_token=812)
+    claim = lease.next_claim(seen("g1", 901), "g1", PENDING, min_token=812)
     assert claim.token == 901
 
 
@@ -33,13 +33,13 @@
     # away and so wrote no claims, then g1 again: its own claim was the last
     # in the store, and its orders went on with the token of its first term.
     # Engines had seen g2's. In three of 121 drawn days: 19, 2 and 4 orders.
-    claim = lease.next_claim(seen("g1", 500), "g1", PENDING, least_token=812)
+    claim = lease.next_claim(seen("g1", 500), "g1", PENDING, min_token=812)
     assert claim.token == 812
 
 
 def test_engine_of_another_holder_rests_for_the_distance():
     distance = 3.0
-    rest = lease.SEND_LIMIT_SECONDS + distance + lease.TRAVEL_SECONDS
+    rest = lease.SEND_LIMIT_SECONDS + distance + lease.TRANSIT_SECONDS
     other = seen("g1", 7, since=100.0)
     assert not lease.may_claim(other, "g2", distance, 100.0 + rest - 0.01)
     assert lease.may_claim(other, "g2", distance, 100.1 + rest)
--- a/tests/decisions/test_permits.py
+++ b/tests/decisions/test_permits.py
@@ -48,7 +48,7 @@
     account = permits.PermitBucket.begin(10.0, 0.0)
     used = take_all(account, [0.0] * 30, 60.0)
     assert len(used) == 10
-    assert max(used) <= permits.PROMISE_SECONDS
+    assert max(used) <= permits.MAX_ADVANCE_SECONDS
 
 
 def test_next_place_is_promised_however_late_it_is():
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("instances", [1, 2, 3, 9, 60, 300])
 def test_parts_of_those_who_hear_nobody_are_the_limit_together(instances):
     draws = [(n + 0.5) / instances for n in range(instances)]
-    parts = [permits.find_part(1.0, instances, draw) for draw in draws]
+    parts = [permits.find_share(1.0, instances, draw) for draw in draws]
     given = [part for part in parts if part is not None]
     assert sum(given) == pytest.approx(1.0)
-    assert len(given) <= permits.UNHEARD_MOST
+    assert len(given) <= permits.MAX_USERS_WITHOUT_HOLDER
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -114,34 +114,34 @@
 
 def test_condemned_content_is_tried_again_the_later_the_deeper_it_is():
     once = judge(mark(OTHER, "e1", attempts=3))
-    assert not once.may_be_tried(OTHER, 29.0)
-    assert once.may_be_tried(OTHER, 30.0)
+    assert not once.may_probe(OTHER, 29.0)
+    assert once.may_probe(OTHER, 30.0)
     twice = judge(mark(OTHER, "e1"), mark(OTHER, "e2", depth=1))
-    assert not twice.may_be_tried(OTHER, 119.0)
-    assert twice.may_be_tried(OTHER, 120.0)
-    assert not twice.may_be_tried(b"unknown", 1000.0)
+    assert not twice.may_probe(OTHER, 119.0)
+    assert twice.may_probe(OTHER, 120.0)
+    assert not twice.may_probe(b"unknown", 1000.0)
 
 
 def test_marks_are_forgotten_after_their_time():
     found = judge(mark(DEADLY, "e1"), mark(DEADLY, "e2", 1))
-    assert found.find_left(DEADLY, 1.0) == suspicion.KEPT_SECONDS - 1.0
-    found.forget(suspicion.KEPT_SECONDS - 1.0)
+    assert found.find_left(DEADLY, 1.0) == suspicion.RETENTION_SECONDS - 1.0
+    found.forget(suspicion.RETENTION_SECONDS - 1.0)
     assert found.list_blocked() == [DEADLY]
-    found.forget(suspicion.KEPT_SECONDS + 1.0)
+    found.forget(suspicion.RETENTION_SECONDS + 1.0)
     assert not found
     # Who heard of them later tells them still.
     told = [mark(DEADLY, "e1"), mark(DEADLY, "e2", 1)]
-    assert not found.add(told, suspicion.KEPT_SECONDS + 2.0)
+    assert not found.add(told, suspicion.RETENTION_SECONDS + 2.0)
     assert not found
 
 
 def test_thousands_of_contents_do_not_push_out_a_condemned_one():
     found = judge(mark(DEADLY, "e1"), mark(DEADLY, "e2", 1))
-    for n in range(suspicion._CONTENTS_MOST * 2):
+    for n in range(suspicion._MAX_CONTENTS * 2):
         found.add([mark(b"%d" % n, f"f{n // 50}")], 1.0)
     assert found.list_blocked() == [DEADLY]
-    assert len(found.list_contents(1)) <= suspicion._CONTENTS_MOST
-    assert len(found._at_start) <= suspicion._CONTENTS_MOST
+    assert len(found.list_contents(1)) <= suspicion._MAX_CONTENTS
+    assert len(found._at_start) <= suspicion._MAX_CONTENTS
 
 
 MARKS = st.builds(
--- a/tests/gateway/test_order_sender.py
+++ b/tests/gateway/test_order_sender.py
@@ -234,7 +234,7 @@
         self.order_sender = order_sender.OrderSender(
             options, self.store, engines.PlatformEngines(), metrics.Metrics()
         )
-        self.order_sender.claims.least_token = 40
+        self.order_sender.claims.min_token = 40
         if follows_nobody:
             self.order_sender.claims.note_no_predecessor()
 
--- a/tests/replays/test_spread.py
+++ b/tests/replays/test_spread.py
@@ -44,11 +44,11 @@
 
 
 def test_shares_pour_what_comes_over_the_lowest():
-    shares = load_spreading.share_out([0.0, 0.1, 1.0], 0.5)
+    shares = load_spreading.split_load([0.0, 0.1, 1.0], 0.5)
     assert shares == pytest.approx([0.6, 0.4, 0.0])
-    assert load_spreading.share_out([0.2, 0.1], 0.0) == [0.0, 1.0]
-    assert load_spreading.share_out([0.1, 0.1], 0.0) == [0.5, 0.5]
-    assert load_spreading.share_out([3.0], 0.0) == [1.0]
+    assert load_spreading.split_load([0.2, 0.1], 0.0) == [0.0, 1.0]
+    assert load_spreading.split_load([0.1, 0.1], 0.0) == [0.5, 0.5]
+    assert load_spreading.split_load([3.0], 0.0) == [1.0]
 
 
 def test_draws_follow_shares():
