--- a/src/wayslip/decisions/lease.py
+++ b/src/wayslip/decisions/lease.py
@@ -127,29 +127,27 @@
         return ObservedClaim(claim, revision, now)
     if known.revision == revision:
         return ObservedClaim(claim, revision, known.since)
-    is_of_a_copy = position.find_era(revision) > position.find_era(
-        known.revision
-    )
-    if is_of_a_copy and claim.token <= known.claim.token:
+    is_new_era = position.find_era(revision) > position.find_era(known.revision)
+    if is_new_era and claim.token <= known.claim.token:
         # The store has lost what is known.
         return ObservedClaim(known.claim, revision, known.since)
     return ObservedClaim(claim, revision, now)
 
 
 def may_claim(
-    seen: ObservedClaim | None, holder: str, distance: float, now: float
+    seen: ObservedClaim | None, holder: str, min_gap: float, now: float
 ) -> bool:
     """Whether an instance may write itself into a claim.
 
     Args:
         seen: The claim as known, None if there is none.
         holder: The instance.
-        distance: Seconds that two holders' orders keep apart.
+        min_gap: Seconds that two holders' orders keep apart.
         now: Steady seconds.
     """
     if seen is None or seen.claim.holder == holder:
         return True
-    return now - seen.since >= SEND_LIMIT_SECONDS + distance + TRANSIT_SECONDS
+    return now - seen.since >= SEND_LIMIT_SECONDS + min_gap + TRANSIT_SECONDS
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -204,25 +202,25 @@
 
 
 def observe_lease(
-    sight: ObservedLease | None, lease: Lease, revision: int, now: float
+    observed: ObservedLease | None, lease: Lease, revision: int, now: float
 ) -> ObservedLease:
     """Returns the sight after a lease was read."""
-    if sight is not None and sight.revision == revision:
-        return dataclasses.replace(sight, lease=lease)
+    if observed is not None and observed.revision == revision:
+        return dataclasses.replace(observed, lease=lease)
     return ObservedLease(lease, revision, now)
 
 
-def seconds_until_free(sight: ObservedLease, name: str, now: float) -> float:
+def seconds_until_free(observed: ObservedLease, name: str, now: float) -> float:
     """Returns the seconds until an instance may take the lease.
 
     An instance whose process started again may take its own lease at once:
     the process before is gone.
     """
-    if sight.lease.holder == name or sight.lease.is_released:
+    if observed.lease.holder == name or observed.lease.is_released:
         return 0.0
-    return max(EXPIRY_SECONDS - (now - sight.since), 0.0)
+    return max(EXPIRY_SECONDS - (now - observed.since), 0.0)
 
 
-def may_take(sight: ObservedLease, name: str, now: float) -> bool:
+def may_take(observed: ObservedLease, name: str, now: float) -> bool:
     """Whether an instance may write itself into the lease."""
-    return seconds_until_free(sight, name, now) <= 0.0
+    return seconds_until_free(observed, name, now) <= 0.0
--- a/src/wayslip/decisions/ledger.py
+++ b/src/wayslip/decisions/ledger.py
@@ -338,11 +338,11 @@
         if charge is None or residency.boot < self.boot:
             return self
         if item in residency.held:
-            return self._with(_seen(charge, residency))
+            return self._with(_update_charge(charge, residency))
         if any(a.item == item for a in self.attempts):
             return self
         # The report may be older than a later order for the same item.
-        if self.checks_fence and not _is_past_order(charge, residency):
+        if self.checks_fence and not _is_after_order(charge, residency):
             return self
         return self._without(item)
 
@@ -354,14 +354,14 @@
             if charge.item in busy:
                 continue
             if charge.item in residency.held:
-                ledger = ledger._with(_seen(charge, residency))
+                ledger = ledger._with(_update_charge(charge, residency))
             elif self._is_gone(charge, residency):
                 ledger = ledger._without(charge.item)
         return ledger
 
     def _is_gone(self, charge: Charge, residency: Residency) -> bool:
         if self.checks_fence:
-            return _is_past_order(charge, residency)
+            return _is_after_order(charge, residency)
         # Without fences an old report looks like a new one.
         return bool(charge.boot) and residency.boot > charge.boot
 
@@ -384,7 +384,7 @@
         return new
 
 
-def _seen(charge: Charge, residency: Residency) -> Charge:
+def _update_charge(charge: Charge, residency: Residency) -> Charge:
     phase = (
         Phase.RESIDENT if charge.item in residency.resident else Phase.LOADING
     )
@@ -393,7 +393,7 @@
     return dataclasses.replace(charge, phase=phase, boot=residency.boot)
 
 
-def _is_past_order(charge: Charge, residency: Residency) -> bool:
+def _is_after_order(charge: Charge, residency: Residency) -> bool:
     """Whether a report was made after the item's last load was decided."""
     reported = (residency.boot, residency.fence)
     return reported >= (charge.ordered_boot, charge.fence)
--- a/src/wayslip/decisions/load_spreading.py
+++ b/src/wayslip/decisions/load_spreading.py
@@ -24,17 +24,17 @@
         unseen: Work that comes from all instances before it is known of,
             seconds; the best endpoints share it where it is nothing.
     """
-    level = _find_level(costs, unseen)
+    level = _find_water_level(costs, unseen)
     parts = [max(level - cost, 0.0) for cost in costs]
     total = sum(parts)
     if total <= 0.0:
-        least = min(costs)
-        parts = [float(cost == least) for cost in costs]
+        lowest = min(costs)
+        parts = [float(cost == lowest) for cost in costs]
         total = sum(parts)
     return [part / total for part in parts]
 
 
-def _find_level(costs: Sequence[float], unseen: float) -> float:
+def _find_water_level(costs: Sequence[float], unseen: float) -> float:
     """Returns how high the costs stand once the unseen work is poured on."""
     ordered = sorted(costs)
     filled = 0.0
--- a/src/wayslip/decisions/loading.py
+++ b/src/wayslip/decisions/loading.py
@@ -42,10 +42,15 @@
 ) -> Step | None:
     """Returns the load that gains most, None if none pays."""
     world = copies.World(engines, pool, demand)
-    wants = {m: world.find_copy_value(m) for m in demand if m in pool.models}
+    copy_values = {
+        m: world.find_copy_value(m) for m in demand if m in pool.models
+    }
     # What each gains if it could serve at once on an idle engine.
     bounds = sorted(
-        ((want.gain(0.0, copies.BUSY_SHARE), m) for m, want in wants.items()),
+        (
+            (copy_value.gain(0.0, copies.BUSY_SHARE), m)
+            for m, copy_value in copy_values.items()
+        ),
         reverse=True,
     )
     best: Step | None = None
@@ -62,7 +67,7 @@
             if name in engine.models:
                 continue
             step = _plan_on(
-                engine, model, room, wants[name], world.spare[engine.name]
+                engine, model, room, copy_values[name], world.spare[engine.name]
             )
             if step is None or (step.is_cold and not may_load_cold):
                 continue
@@ -75,12 +80,14 @@
     engine: copies.Engine,
     model: manifest.Model,
     room: copies.Room,
-    want: copies.CopyValue,
+    copy_value: copies.CopyValue,
     spare: float,
 ) -> Step | None:
     seconds, is_cold = _time_load(engine, model)
     seconds += room.wait
-    gain = want.gain(seconds, spare) - room.loss - room.busy_loss * seconds
+    gain = (
+        copy_value.gain(seconds, spare) - room.loss - room.busy_loss * seconds
+    )
     if gain < MIN_GAIN:
         return None
     return Step(engine.name, model.name, room.victims, is_cold, seconds, gain)
--- a/src/wayslip/decisions/membership.py
+++ b/src/wayslip/decisions/membership.py
@@ -15,11 +15,11 @@
 import math
 import random
 
-_HELPERS = 2
-_NEWS_PER_MESSAGE = 6
-_RETRANSMIT = 3
-_DEAD_KEPT = 60.0
-_REJOIN_ODDS = 0.1
+_RELAY_COUNT = 2
+_MAX_UPDATES_PER_MESSAGE = 6
+_RETRANSMIT_FACTOR = 3
+_DEAD_RETENTION_SECONDS = 60.0
+_REJOIN_PROBABILITY = 0.1
 
 
 class Role(enum.StrEnum):
@@ -38,7 +38,7 @@
     DEAD = "dead"
 
 
-_STRENGTH = {s: n for n, s in enumerate(Status)}
+_PRECEDENCE = {s: n for n, s in enumerate(Status)}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -64,11 +64,11 @@
         """Names this very process; another start has another name."""
         return f"{self.name}#{self.boot}"
 
-    def beats(self, other: "Member") -> bool:
+    def supersedes(self, other: "Member") -> bool:
         """Whether this word on a member replaces another."""
         if self.incarnation != other.incarnation:
             return self.incarnation > other.incarnation
-        return _STRENGTH[self.status] > _STRENGTH[other.status]
+        return _PRECEDENCE[self.status] > _PRECEDENCE[other.status]
 
 
 class Probe(enum.StrEnum):
@@ -134,13 +134,13 @@
         self._members: dict[str, Member] = {me.name: me}
         self._changed: dict[str, float] = {}
         # Suspects and the dead, so that a tick looks at few members.
-        self._doubtful: set[str] = set()
+        self._unhealthy: set[str] = set()
         self._sends_left: dict[str, int] = {}
         self._pending: dict[int, _Pending] = {}
         self._seq = 0
         self._next_probe = 0.0
         self._order: list[str] = []
-        self._spread(me)
+        self._enqueue_update(me)
 
     # Looking up
 
@@ -173,12 +173,12 @@
         """Starts to tell the others that this member is stopping."""
         self.me = dataclasses.replace(self.me, status=Status.LEAVING)
         self._members[self.me.name] = self.me
-        self._spread(self.me)
+        self._enqueue_update(self.me)
 
     def tick(self, now: float) -> list[Outgoing]:
         """Returns the messages that are due; call it several times a period."""
         self._expire(now)
-        out = self._chase(now)
+        out = self._check_pending(now)
         if now >= self._next_probe:
             self._next_probe = now + self._period
             out += self._probe_next(now)
@@ -205,21 +205,21 @@
         if member.name == self.me.name:
             return self._refute(member)
         known = self._members.get(member.name)
-        if known is not None and not member.beats(known):
+        if known is not None and not member.supersedes(known):
             return False
         if known is None and member.status is Status.DEAD:
             return False
         self._members[member.name] = member
         self._changed[member.name] = now
         if member.status in (Status.SUSPECT, Status.DEAD):
-            self._doubtful.add(member.name)
+            self._unhealthy.add(member.name)
         else:
-            self._doubtful.discard(member.name)
-        self._spread(member)
+            self._unhealthy.discard(member.name)
+        self._enqueue_update(member)
         return True
 
     def _refute(self, member: Member) -> bool:
-        if not member.beats(self.me):
+        if not member.supersedes(self.me):
             return False
         if member.incarnation == self.me.incarnation and member.status in (
             Status.ALIVE,
@@ -230,29 +230,31 @@
             self.me, incarnation=member.incarnation + 1
         )
         self._members[self.me.name] = self.me
-        self._spread(self.me)
+        self._enqueue_update(self.me)
         return True
 
     # Probing
 
     def _probe_next(self, now: float) -> list[Outgoing]:
-        if self._rng.random() < _REJOIN_ODDS:
-            lost = self._find_lost()
-            if lost:
-                return [self._send(self._rng.choice(lost), _Pending("", now))]
+        if self._rng.random() < _REJOIN_PROBABILITY:
+            addresses = self._list_rejoin_addresses()
+            if addresses:
+                return [
+                    self._send(self._rng.choice(addresses), _Pending("", now))
+                ]
         target = self._next_target()
         if target is not None:
             return [self._send(target.address, _Pending(target.name, now))]
         return [self._send(s, _Pending("", now)) for s in self._seeds]
 
-    def _find_lost(self) -> list[str]:
+    def _list_rejoin_addresses(self) -> list[str]:
         """Returns addresses to try again, so that parted halves meet again.
 
         The dead are forgotten after a while; the seeds never are.
         """
         dead = [
             self._members[n].address
-            for n in sorted(self._doubtful)
+            for n in sorted(self._unhealthy)
             if self._members[n].status is Status.DEAD
         ]
         known = {m.address for m in self._members.values()}
@@ -275,28 +277,28 @@
     def _send(self, address: str, pending: _Pending) -> Outgoing:
         self._seq += 1
         self._pending[self._seq] = pending
-        return self._out(address, Probe.PING, self._seq, about=pending.name)
+        return self._out(address, Probe.PING, self._seq, recipient=pending.name)
 
-    def _chase(self, now: float) -> list[Outgoing]:
+    def _check_pending(self, now: float) -> list[Outgoing]:
         out: list[Outgoing] = []
         for seq, pending in list(self._pending.items()):
             waited = now - pending.sent
             if waited >= self._period and not pending.relayed:
                 pending.relayed = True
-                out += self._ask_helpers(seq, pending)
+                out += self._request_relays(seq, pending)
             if waited >= 2 * self._period:
                 del self._pending[seq]
                 self._suspect(pending.name, now)
         return out
 
-    def _ask_helpers(self, seq: int, pending: _Pending) -> list[Outgoing]:
+    def _request_relays(self, seq: int, pending: _Pending) -> list[Outgoing]:
         target = self._members.get(pending.name)
         if target is None:
             return []
-        helpers = [m for m in self.pick(_HELPERS) if m.name != target.name]
+        relays = [m for m in self.pick(_RELAY_COUNT) if m.name != target.name]
         return [
             self._out(h.address, Probe.RELAY, seq, target.address)
-            for h in helpers
+            for h in relays
         ]
 
     def _settle(self, message: Message, now: float) -> list[Outgoing]:
@@ -315,23 +317,25 @@
         self.merge(dataclasses.replace(member, status=Status.SUSPECT), now)
 
     def _expire(self, now: float) -> None:
-        for name in list(self._doubtful):
+        for name in list(self._unhealthy):
             member = self._members[name]
             age = now - self._changed.get(member.name, now)
             if member.status is Status.SUSPECT and age >= self._suspicion:
                 dead = dataclasses.replace(member, status=Status.DEAD)
                 self.merge(dead, now)
-            elif member.status is Status.DEAD and age >= _DEAD_KEPT:
+            elif (
+                member.status is Status.DEAD and age >= _DEAD_RETENTION_SECONDS
+            ):
                 del self._members[member.name]
-                self._doubtful.discard(member.name)
+                self._unhealthy.discard(member.name)
                 self._changed.pop(member.name, None)
                 self._sends_left.pop(member.name, None)
 
     # News
 
-    def _spread(self, member: Member) -> None:
+    def _enqueue_update(self, member: Member) -> None:
         count = max(len(self._members), 2)
-        self._sends_left[member.name] = _RETRANSMIT * math.ceil(
+        self._sends_left[member.name] = _RETRANSMIT_FACTOR * math.ceil(
             math.log2(count) + 1
         )
 
@@ -341,24 +345,24 @@
         probe: Probe,
         seq: int,
         subject: str = "",
-        about: str = "",
+        recipient: str = "",
     ) -> Outgoing:
-        news = self._take_news(about)
+        news = self._select_updates(recipient)
         return Outgoing(
             address, Message(probe, seq, self.me.name, news, subject)
         )
 
-    def _take_news(self, about: str) -> tuple[Member, ...]:
+    def _select_updates(self, recipient: str) -> tuple[Member, ...]:
         fresh = sorted(self._sends_left, key=lambda n: -self._sends_left[n])
-        chosen = fresh[:_NEWS_PER_MESSAGE]
+        chosen = fresh[:_MAX_UPDATES_PER_MESSAGE]
         for name in chosen:
             self._sends_left[name] -= 1
             if self._sends_left[name] <= 0:
                 del self._sends_left[name]
         # The sender itself always rides along: it proves that it lives. So
         # does word of the receiver's own death or suspicion, to be refuted.
-        if about in self._members:
-            chosen.append(about)
+        if recipient in self._members:
+            chosen.append(recipient)
         news = {n: self._members[n] for n in chosen if n in self._members}
         news[self.me.name] = self.me
         return tuple(news.values())
--- a/src/wayslip/decisions/placement.py
+++ b/src/wayslip/decisions/placement.py
@@ -84,7 +84,7 @@
         for name, state in engines.items()
     }
     draft = _Draft(catalog, engines, kept)
-    _trim(draft, replicas)
+    _remove_surplus(draft, replicas)
     # Large groups first: small ones fill the gaps.
     groups = sorted(
         catalog.targets.values(), key=lambda t: (-_size(catalog, t), t.name)
@@ -104,13 +104,13 @@
     draft: _Draft, target: catalogs.Target, wanted: int
 ) -> refusals.Refusal | None:
     base = target.items[0]
-    while len(_complete(draft, target.items)) < wanted:
+    while len(_find_complete(draft, target.items)) < wanted:
         engine = _choose_engine(draft, target.items)
         if engine is not None:
             for item in target.items:
                 draft.put(item, engine)
             continue
-        if _complete(draft, target.items):
+        if _find_complete(draft, target.items):
             # A further replica is wished for, the first is a promise.
             return None
         return refusals.Refusal(
@@ -121,7 +121,7 @@
     return None
 
 
-def _complete(draft: _Draft, items: Iterable[str]) -> list[str]:
+def _find_complete(draft: _Draft, items: Iterable[str]) -> list[str]:
     sets = [set(draft.holders(item)) for item in items]
     return sorted(set.intersection(*sets))
 
@@ -144,7 +144,7 @@
     return best
 
 
-def _trim(draft: _Draft, replicas: Mapping[str, int]) -> None:
+def _remove_surplus(draft: _Draft, replicas: Mapping[str, int]) -> None:
     """Takes out replicas beyond the wanted number, fullest engines first."""
     model_of = {
         item: target.model
--- a/src/wayslip/decisions/plan.py
+++ b/src/wayslip/decisions/plan.py
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Witness:
+class StateDigest:
     """A piece of the world as a plan saw it."""
 
     subject: str
@@ -75,7 +75,7 @@
     steps: tuple[Step, ...]
     cost: Cost
     effects: tuple[str, ...]
-    world: tuple[Witness, ...]
+    world: tuple[StateDigest, ...]
     generation: int = 0
     ended_by: str = ""
 
@@ -148,7 +148,7 @@
         steps=steps,
         cost=estimate_cost(steps, store),
         effects=_describe_effects(world.config, change, steps),
-        world=witness_world(world, change),
+        world=digest_world(world, change),
     )
 
 
@@ -164,26 +164,28 @@
     )
 
 
-def witness_world(
+def digest_world(
     world: World, change: configuration.Change
-) -> tuple[Witness, ...]:
+) -> tuple[StateDigest, ...]:
     """Returns digests of the entries and engines that a change touches."""
-    witnesses = []
+    digests = []
     for kind, name in sorted(change.ids):
         entry = world.config.get(kind, name)
         seen = repr(entry.value) if entry else "absent"
-        witnesses.append(Witness(f"{kind} {name}", _digest(seen)))
+        digests.append(StateDigest(f"{kind} {name}", _digest(seen)))
     for name in sorted({n for k, n in change.ids if k == "placement"}):
         state = world.engines.get(name)
         held = sorted(state.held) if state else None
         live = state.is_live if state else None
-        witnesses.append(Witness(f"engine {name}", _digest(repr((held, live)))))
-    return tuple(witnesses)
+        digests.append(
+            StateDigest(f"engine {name}", _digest(repr((held, live))))
+        )
+    return tuple(digests)
 
 
 def find_changes(plan: Plan, world: World) -> tuple[str, ...]:
     """Returns the pieces of the world that changed since a plan was drawn."""
-    now = {w.subject: w.digest for w in witness_world(world, plan.change)}
+    now = {w.subject: w.digest for w in digest_world(world, plan.change)}
     return tuple(
         w.subject for w in plan.world if now.get(w.subject) != w.digest
     )
@@ -252,7 +254,7 @@
     return dataclasses.replace(change, put=(*change.put, *values))
 
 
-class _Rehearsal:
+class _Simulation:
     """Goes through the steps in memory to find an order that fits."""
 
     def __init__(
@@ -331,10 +333,10 @@
 def _order_steps(
     world: World, catalog: catalogs.Catalog, placed: placement.Placements
 ) -> tuple[Step, ...] | refusals.Refusal:
-    rehearsal = _Rehearsal(world, catalog, placed)
-    if rehearsal.run():
-        return tuple(rehearsal.steps)
-    engine, item = (rehearsal.loads + rehearsal.unloads)[0]
+    simulation = _Simulation(world, catalog, placed)
+    if simulation.run():
+        return tuple(simulation.steps)
+    engine, item = (simulation.loads + simulation.unloads)[0]
     return refusals.Refusal(
         refusals.Reason.NO_MEMORY,
         f"no order of steps fits: {item} on {engine} can not move while its"
--- a/src/wayslip/decisions/reading.py
+++ b/src/wayslip/decisions/reading.py
@@ -18,7 +18,7 @@
 
 # Tokens a second assumed for a model without samples: the operators' sheet of
 # both sites says 19.1 a millisecond for the fastest.
-_FIRST_RATE = 14_000.0
+_DEFAULT_RATE = 14_000.0
 # Weights of a new sample that is faster than what is known, and of a slower
 # one. Of samples on busy engines the known rates of two kinds of model, 54,600
 # and 19,100 tokens a second, were faster than 83 and 82 in 100; with these
@@ -26,12 +26,12 @@
 _FASTER_WEIGHT = 0.2
 _SLOWER_WEIGHT = 0.02
 # Prompts shorter than this say little: their time is mostly the way.
-_LEAST_TOKENS = 300
+_MIN_TOKENS = 300
 # The way and the first step take about this long, seconds.
-_OVERHEAD = 0.012
-_LEAST_SECONDS = 0.005
+_OVERHEAD_SECONDS = 0.012
+_MIN_SECONDS = 0.005
 # Samples kept until they are told: more than come between two reports.
-_SAMPLES_MOST = 20
+_MAX_SAMPLES = 20
 
 
 class ReadingRates:
@@ -40,7 +40,7 @@
     def __init__(self) -> None:
         self._rates: dict[str, float] = {}
         self._unreported: collections.deque[tuple[str, float]] = (
-            collections.deque(maxlen=_SAMPLES_MOST)
+            collections.deque(maxlen=_MAX_SAMPLES)
         )
 
     def learn(self, model: str, tokens: int, seconds: float) -> None:
@@ -51,9 +51,9 @@
             tokens: Tokens that were not in its cache.
             seconds: From the send to the first token.
         """
-        if tokens < _LEAST_TOKENS:
+        if tokens < _MIN_TOKENS:
             return
-        sample = tokens / max(seconds - _OVERHEAD, _LEAST_SECONDS)
+        sample = tokens / max(seconds - _OVERHEAD_SECONDS, _MIN_SECONDS)
         self._unreported.append((model, round(sample)))
         self.note(model, sample)
 
@@ -79,4 +79,4 @@
 
     def estimate(self, model: str, tokens: int) -> float:
         """Returns the seconds that a model takes to read some tokens."""
-        return tokens / self._rates.get(model, _FIRST_RATE)
+        return tokens / self._rates.get(model, _DEFAULT_RATE)
--- a/src/wayslip/decisions/retry_pacing.py
+++ b/src/wayslip/decisions/retry_pacing.py
@@ -17,15 +17,15 @@
 MAX_ATTEMPTS_PER_SECOND = 10.0
 
 
-def find_pause(usual: float, instances: int, is_heard: bool) -> float:
+def find_pause(usual: float, instances: int, has_holder: bool) -> float:
     """Returns the seconds to wait before an attempt is repeated.
 
     Args:
         usual: What one instance alone would wait, seconds.
         instances: How many the fleet has, as last told.
-        is_heard: Whether the lease's holder is heard now, be it that it can
+        has_holder: Whether the lease's holder is heard now, be it that it can
             not renew.
     """
-    if not is_heard:
+    if not has_holder:
         return usual
     return max(usual, instances / MAX_ATTEMPTS_PER_SECOND)
--- a/src/wayslip/decisions/routing.py
+++ b/src/wayslip/decisions/routing.py
@@ -24,7 +24,7 @@
 
 # Candidates above this number are sampled, so that a decision over a large
 # fleet costs what one over a small fleet does.
-SAMPLE = 24
+SAMPLE_SIZE = 24
 BLOCK_CHARS = 256
 MAX_BLOCKS = 64
 # Part of a prefix that its home engine is trusted to hold unseen.
@@ -116,11 +116,11 @@
     # priorities, so the first rank does not stand behind it.
     backlog = float(waiting) if rank > 0 else 0.0
     at = reported
-    for one in sent:
-        if one.rank > rank:
+    for send in sent:
+        if send.rank > rank:
             continue
-        backlog = max(backlog - rate * (one.at - at), 0.0) + one.tokens
-        at = one.at
+        backlog = max(backlog - rate * (send.at - at), 0.0) + send.tokens
+        at = send.at
     return max(backlog - rate * (now - at), 0.0)
 
 
@@ -151,7 +151,7 @@
 
 POLICIES: registry.Registry[Policy] = registry.Registry("routing policy")
 
-_FAR_PENALTY = 0.002
+_REMOTE_PENALTY_SECONDS = 0.002
 
 
 def predict_first_token(candidate: Candidate, tokens: int) -> float:
@@ -165,7 +165,7 @@
         # when answers are some hundred tokens long.
         delay += (over + 1) * candidate.step * 100 / candidate.slots
     if not candidate.is_near:
-        delay += _FAR_PENALTY
+        delay += _REMOTE_PENALTY_SECONDS
     return delay
 
 
@@ -173,9 +173,11 @@
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Sequence[Candidate]:
     """Returns a bounded sample that keeps those with a cached prefix."""
-    if len(candidates) <= SAMPLE:
+    if len(candidates) <= SAMPLE_SIZE:
         return candidates
-    return [candidates[rng.randrange(len(candidates))] for _ in range(SAMPLE)]
+    return [
+        candidates[rng.randrange(len(candidates))] for _ in range(SAMPLE_SIZE)
+    ]
 
 
 @POLICIES.register("predicted")
--- a/src/wayslip/decisions/selection.py
+++ b/src/wayslip/decisions/selection.py
@@ -97,17 +97,17 @@
         draw: From [0, 1); instances with the same knowledge draw differently.
         unseen: Work that instances send to them before all know of it.
     """
-    rested = [c for c in candidates if not c.is_suspended] or candidates
-    if not rested:
+    available = [c for c in candidates if not c.is_suspended] or candidates
+    if not available:
         return None
-    shares = load_spreading.split_load([_rate(c) for c in rested], unseen)
-    best = rested[load_spreading.draw(shares, draw)]
+    shares = load_spreading.split_load([_score(c) for c in available], unseen)
+    best = available[load_spreading.draw(shares, draw)]
     return Choice(
         best.name, predict_wait(best), best.in_flight / max(best.slots, 1)
     )
 
 
-def _rate(candidate: Candidate) -> float:
+def _score(candidate: Candidate) -> float:
     distance = 0.0 if candidate.is_near else DISTANCE_COST
     connecting = 0.0 if candidate.is_connected else CONNECT_COST
     failing = candidate.failures * FAILURE_COST
--- a/src/wayslip/decisions/suspicion.py
+++ b/src/wayslip/decisions/suspicion.py
@@ -94,23 +94,23 @@
     def list_crash_records(self) -> list[CrashRecord]:
         """Returns its marks, those of one start together."""
         return [
-            mark
-            for _, told in sorted(self.crash_records.items())
-            for _, mark in sorted(told.items())
+            record
+            for _, by_reporter in sorted(self.crash_records.items())
+            for _, record in sorted(by_reporter.items())
         ]
 
-    def add(self, mark: CrashRecord) -> bool:
+    def add(self, record: CrashRecord) -> bool:
         """Takes a mark in; returns whether it was news."""
-        told = self.crash_records.setdefault(mark.start, {})
-        known = told.get(mark.reporter)
+        by_reporter = self.crash_records.setdefault(record.start, {})
+        known = by_reporter.get(record.reporter)
         if known is not None:
-            mark = dataclasses.replace(
-                mark,
-                depth=max(mark.depth, known.depth),
-                attempts=max(mark.attempts, known.attempts),
+            record = dataclasses.replace(
+                record,
+                depth=max(record.depth, known.depth),
+                attempts=max(record.attempts, known.attempts),
             )
-        told[mark.reporter] = mark
-        return mark != known
+        by_reporter[record.reporter] = record
+        return record != known
 
 
 class Suspicion:
@@ -120,7 +120,7 @@
         self._suspects: dict[bytes, _Suspect] = {}
         self._at_start: dict[fleet.Start, set[bytes]] = {}
         # Contents that endpoints answered before, and since when that is known.
-        self._common: dict[bytes, float] = {}
+        self._exempt: dict[bytes, float] = {}
         # Marks that no longer count, and since when.
         self._cleared: dict[tuple[bytes, fleet.Start], float] = {}
 
@@ -140,15 +140,15 @@
         suspect = self._suspects.get(content)
         if suspect is None:
             return False
-        is_common = content in self._common
-        if suspect.attempts >= _BLOCKING_ATTEMPTS and not is_common:
+        is_exempt = content in self._exempt
+        if suspect.attempts >= _BLOCKING_ATTEMPTS and not is_exempt:
             return True
         depth = suspect.depth
         if depth >= _BLOCKING_DEPTH:
             return True
-        return depth >= _SOLE_SUSPECT_DEPTH and self._is_alone(content)
+        return depth >= _SOLE_SUSPECT_DEPTH and self._is_sole_suspect(content)
 
-    def _is_alone(self, content: bytes) -> bool:
+    def _is_sole_suspect(self, content: bytes) -> bool:
         """Whether no other content that came again shares an end with it."""
         rivals = {
             other
@@ -211,31 +211,33 @@
         self, crash_records: Iterable[CrashRecord], now: float
     ) -> list[CrashRecord]:
         """Takes marks in; returns those that are news."""
-        news = []
-        for mark in crash_records:
-            if (mark.content, mark.start) in self._cleared:
+        added = []
+        for record in crash_records:
+            if (record.content, record.start) in self._cleared:
                 continue
-            suspect = self._suspects.setdefault(mark.content, _Suspect(now))
-            if suspect.add(mark):
-                self._at_start.setdefault(mark.start, set()).add(mark.content)
-                news.append(mark)
-        self._keep_bounds()
-        return news
+            suspect = self._suspects.setdefault(record.content, _Suspect(now))
+            if suspect.add(record):
+                self._at_start.setdefault(record.start, set()).add(
+                    record.content
+                )
+                added.append(record)
+        self._enforce_limits()
+        return added
 
     def clear(
         self, crash_records: Iterable[CrashRecord], now: float
     ) -> list[CrashRecord]:
         """Has marks count no longer; returns those for which that is news."""
-        news = []
-        for mark in crash_records:
-            key = (mark.content, mark.start)
+        added = []
+        for record in crash_records:
+            key = (record.content, record.start)
             if key in self._cleared:
                 continue
             self._cleared[key] = now
-            self._drop(mark.content, mark.start)
-            news.append(mark)
-        self._keep_bounds()
-        return news
+            self._drop(record.content, record.start)
+            added.append(record)
+        self._enforce_limits()
+        return added
 
     def exempt(self, contents: Iterable[bytes], now: float) -> list[bytes]:
         """Notes contents that endpoints answered before.
@@ -245,10 +247,10 @@
         Returns:
             Those for which that is news.
         """
-        news = [c for c in contents if c not in self._common]
-        self._common.update(dict.fromkeys(news, now))
-        self._keep_bounds()
-        return news
+        added = [c for c in contents if c not in self._exempt]
+        self._exempt.update(dict.fromkeys(added, now))
+        self._enforce_limits()
+        return added
 
     def forget(self, now: float) -> bool:
         """Forgets what was known for long enough; returns whether it did.
@@ -260,7 +262,7 @@
         for content in old:
             self.clear(self.list_crash_records(content), now)
         self._cleared = {k: t for k, t in self._cleared.items() if t > limit}
-        self._common = {c: t for c, t in self._common.items() if t > limit}
+        self._exempt = {c: t for c, t in self._exempt.items() if t > limit}
         return bool(old)
 
     def _drop(self, content: bytes, start: fleet.Start) -> None:
@@ -268,21 +270,21 @@
         if suspect is None or start not in suspect.crash_records:
             return
         del suspect.crash_records[start]
-        self._leave(content, start)
+        self._unlink(content, start)
         if not suspect.crash_records:
             del self._suspects[content]
 
     def _drop_all(self, content: bytes) -> None:
         for start in self._suspects.pop(content).crash_records:
-            self._leave(content, start)
+            self._unlink(content, start)
 
-    def _leave(self, content: bytes, start: fleet.Start) -> None:
-        there = self._at_start[start]
-        there.discard(content)
-        if not there:
+    def _unlink(self, content: bytes, start: fleet.Start) -> None:
+        contents = self._at_start[start]
+        contents.discard(content)
+        if not contents:
             del self._at_start[start]
 
-    def _keep_bounds(self) -> None:
+    def _enforce_limits(self) -> None:
         over = len(self._suspects) - _MAX_CONTENTS
         if over > 0:
             # Sorted is stable: of those as deep the oldest go first.
@@ -293,5 +295,5 @@
                 self._drop_all(content)
         while len(self._cleared) > _MAX_CONTENTS:
             del self._cleared[next(iter(self._cleared))]
-        while len(self._common) > _MAX_CONTENTS:
-            del self._common[next(iter(self._common))]
+        while len(self._exempt) > _MAX_CONTENTS:
+            del self._exempt[next(iter(self._exempt))]
--- a/src/wayslip/decisions/urgency.py
+++ b/src/wayslip/decisions/urgency.py
@@ -70,8 +70,8 @@
         mine = organisations.DEFAULT_PRIORITY
     # A route of an older configuration may have a priority that is not listed.
     first = bisect.bisect_left(callers, mine)
-    place = first * len(routes) + bisect.bisect_left(routes, route.priority)
+    position = first * len(routes) + bisect.bisect_left(routes, route.priority)
     count = max(len(callers) * len(routes), 1)
     if count > _RANKS:
-        place = place * _RANKS // count
-    return min(place, _RANKS - 1)
+        position = position * _RANKS // count
+    return min(position, _RANKS - 1)
--- a/src/wayslip/decisions/wait_policies.py
+++ b/src/wayslip/decisions/wait_policies.py
@@ -51,12 +51,12 @@
 @WAIT_POLICIES.register("target")
 def wait_for_target(situation: Situation) -> float:
     """Waits while the answer can still come within the target."""
-    sure = EXPECTED_SHARE * situation.target - situation.waited
+    longer_wait = EXPECTED_SHARE * situation.target - situation.waited
     if situation.lacks_adapter_only:
         # An adapter takes some ten milliseconds. Until everybody has heard of
         # it a large fleet takes longer than the usual patience: with 195
         # instances a quarter of the refusals were of such requests.
-        return sure
-    if situation.expected is not None and situation.expected < sure:
-        return sure
+        return longer_wait
+    if situation.expected is not None and situation.expected < longer_wait:
+        return longer_wait
     return _UNKNOWN_SHARE * situation.target - situation.waited
--- a/tests/decisions/test_lease.py
+++ b/tests/decisions/test_lease.py
@@ -38,11 +38,11 @@
 
 
 def test_engine_of_another_holder_rests_for_the_distance():
-    distance = 3.0
-    rest = lease.SEND_LIMIT_SECONDS + distance + lease.TRANSIT_SECONDS
+    min_gap = 3.0
+    delay = lease.SEND_LIMIT_SECONDS + min_gap + lease.TRANSIT_SECONDS
     other = seen("g1", 7, since=100.0)
-    assert not lease.may_claim(other, "g2", distance, 100.0 + rest - 0.01)
-    assert lease.may_claim(other, "g2", distance, 100.1 + rest)
+    assert not lease.may_claim(other, "g2", min_gap, 100.0 + delay - 0.01)
+    assert lease.may_claim(other, "g2", min_gap, 100.1 + delay)
 
 
 def test_own_and_new_engines_need_no_rest():
@@ -52,8 +52,8 @@
 
 def test_lease_is_taken_after_it_stood_unchanged():
     value = lease.Lease("g1", "a", 1)
-    sight = lease.observe_lease(None, value, 10, now=50.0)
-    again = lease.observe_lease(sight, value, 10, now=51.0)
+    observed = lease.observe_lease(None, value, 10, now=50.0)
+    again = lease.observe_lease(observed, value, 10, now=51.0)
     assert again.since == 50.0
     assert not lease.may_take(again, "g2", 50.0 + lease.EXPIRY_SECONDS - 0.1)
     assert lease.may_take(again, "g2", 50.0 + lease.EXPIRY_SECONDS)
--- a/tests/decisions/test_loading.py
+++ b/tests/decisions/test_loading.py
@@ -360,17 +360,17 @@
     demand = {"a": asked(8, 0.4)}
     other = make_engine("e2", "b", on_disk=frozenset({"a"}))
     assert plan([make_engine("e1", "a"), other], pool, demand) is None
-    resting = make_engine("e1", "a", rest=9.0)
-    step = plan([resting, other], pool, demand)
+    backing_off = make_engine("e1", "a", rest=9.0)
+    step = plan([backing_off, other], pool, demand)
     assert (step.engine, step.model) == ("e2", "a")
 
 
-@pytest.mark.parametrize("need", [{"limit": 1.0}, {"rest": 2.0}])
-def test_engine_in_need_is_loaded_only_where_no_other_can_be(need):
+@pytest.mark.parametrize("constraint", [{"limit": 1.0}, {"rest": 2.0}])
+def test_engine_in_need_is_loaded_only_where_no_other_can_be(constraint):
     pool = make_pool("a", "b", "c")
-    in_need = make_engine("e1", **need)
+    constrained = make_engine("e1", **constraint)
     other = make_engine("e2", "a")
     demand = {"a": asked(2), "c": asked(3)}
-    assert plan([in_need, other], pool, demand).engine == "e2"
+    assert plan([constrained, other], pool, demand).engine == "e2"
     busy = dataclasses.replace(other, is_free=False)
-    assert plan([in_need, busy], pool, demand).engine == "e1"
+    assert plan([constrained, busy], pool, demand).engine == "e1"
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -35,13 +35,13 @@
 
 def test_suspect_that_lives_refutes():
     fleet = slopes.Fleet(SIZE)
-    victim = fleet.nodes["10.0.0.3:7000"]
-    accuser = fleet.nodes["10.0.0.4:7000"]
-    accuser._suspect(victim.me.name, fleet.now)
+    suspected = fleet.nodes["10.0.0.3:7000"]
+    reporter = fleet.nodes["10.0.0.4:7000"]
+    reporter._suspect(suspected.me.name, fleet.now)
     for _ in range(100):
         fleet.tick()
     assert live_counts(fleet) == {SIZE}
-    assert victim.me.incarnation > victim.me.boot
+    assert suspected.me.incarnation > suspected.me.boot
 
 
 def test_restarted_process_replaces_the_old_one():
--- a/tests/decisions/test_permits.py
+++ b/tests/decisions/test_permits.py
@@ -5,11 +5,11 @@
 from wayslip.decisions import permits
 
 
-def take_all(account, times, max_wait=0.0):
+def take_all(bucket, times, max_wait=0.0):
     """Takes a place at each time; returns when those granted are used."""
     used = []
     for now in times:
-        account, verdict = account.take(max_wait, now)
+        bucket, verdict = bucket.take(max_wait, now)
         if verdict.is_granted:
             used.append(now + verdict.wait)
     return used
@@ -24,8 +24,8 @@
 def test_no_window_holds_more_than_the_limit_and_what_is_saved_up(
     rate, max_wait
 ):
-    account = permits.PermitBucket.begin(rate, 0.0)
-    used = take_all(account, every(0.01, 40.0), max_wait)
+    bucket = permits.PermitBucket.begin(rate, 0.0)
+    used = take_all(bucket, every(0.01, 40.0), max_wait)
     for at in used:
         came = sum(at <= one < at + 4.0 for one in used)
         assert came <= rate * 4.0 + permits.BURST + 1e-6
@@ -33,20 +33,20 @@
 
 
 def test_first_place_is_given_once_it_is_earned():
-    account = permits.PermitBucket.begin(2.0, 0.0)
-    assert take_all(account, [0.0, 0.49, 0.51]) == [0.51]
+    bucket = permits.PermitBucket.begin(2.0, 0.0)
+    assert take_all(bucket, [0.0, 0.49, 0.51]) == [0.51]
 
 
 def test_refusal_tells_when_a_place_is_free():
-    account, verdict = permits.PermitBucket.begin(0.5, 0.0).take(0.0, 1.0)
+    bucket, verdict = permits.PermitBucket.begin(0.5, 0.0).take(0.0, 1.0)
     assert verdict == permits.Verdict(False, pytest.approx(1.0))
-    _, verdict = account.take(0.0, 2.0)
+    _, verdict = bucket.take(0.0, 2.0)
     assert verdict.is_granted
 
 
 def test_places_are_promised_for_a_moment_ahead_only():
-    account = permits.PermitBucket.begin(10.0, 0.0)
-    used = take_all(account, [0.0] * 30, 60.0)
+    bucket = permits.PermitBucket.begin(10.0, 0.0)
+    used = take_all(bucket, [0.0] * 30, 60.0)
     assert len(used) == 10
     assert max(used) <= permits.MAX_ADVANCE_SECONDS
 
@@ -57,19 +57,19 @@
 
 
 def test_new_rate_counts_from_its_change_on():
-    account = permits.PermitBucket.begin(1.0, 0.0).change_rate(0.1, 0.5)
-    assert take_all(account, [5.4, 5.6]) == [5.6]
+    bucket = permits.PermitBucket.begin(1.0, 0.0).change_rate(0.1, 0.5)
+    assert take_all(bucket, [5.4, 5.6]) == [5.6]
 
 
 def test_endpoint_that_wants_nothing_is_asked_now_and_then():
-    account = permits.PermitBucket.begin(0.0, 0.0)
-    assert len(take_all(account, every(0.1, 60.0))) == pytest.approx(6, abs=1)
+    bucket = permits.PermitBucket.begin(0.0, 0.0)
+    assert len(take_all(bucket, every(0.1, 60.0))) == pytest.approx(6, abs=1)
 
 
 @pytest.mark.parametrize("instances", [1, 2, 3, 9, 60, 300])
 def test_parts_of_those_who_hear_nobody_are_the_limit_together(instances):
     draws = [(n + 0.5) / instances for n in range(instances)]
-    parts = [permits.find_share(1.0, instances, draw) for draw in draws]
-    given = [part for part in parts if part is not None]
+    shares = [permits.find_share(1.0, instances, draw) for draw in draws]
+    given = [share for share in shares if share is not None]
     assert sum(given) == pytest.approx(1.0)
     assert len(given) <= permits.MAX_USERS_WITHOUT_HOLDER
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -34,9 +34,9 @@
 
 
 def test_suspended_endpoint_is_a_last_resort():
-    resting = candidate("a", is_suspended=True)
-    assert selection.choose([resting, candidate("b")], 0.0).name == "b"
-    assert selection.choose([resting], 0.0).name == "a"
+    suspended = candidate("a", is_suspended=True)
+    assert selection.choose([suspended, candidate("b")], 0.0).name == "b"
+    assert selection.choose([suspended], 0.0).name == "a"
     assert selection.choose([], 0.0) is None
 
 
