--- a/src/wayslip/decisions/lease.py
+++ b/src/wayslip/decisions/lease.py
@@ -1,16 +1,16 @@
-"""Which instance plans loads, and which may order an engine.
-
-The lease on planning is soft: it spares double work, and two instances that
-both think they hold it do no harm. What keeps orders apart is the claim on
-each engine. It is written, on the condition that nobody wrote it meanwhile,
-before every single order, so a claim that was not written has sent nothing
-since. Another instance may take an engine over once it knows that the claim
-has stood unchanged for longer than an order's way and the distance that two
-holders must keep. No clock is compared across instances, and nothing has to
-be renewed: an engine without recent orders changes hands at once.
-
-The claim also holds the order whose effect is not known yet, so a successor
-knows what may still arrive.
+"""The planning lease, and the claims that permit orders to an engine.
+
+The planning lease is advisory: it avoids duplicate work, and two instances
+that both believe to hold it do no harm. Mutual exclusion comes from the claim
+on each engine. It is written with a conditional update before every single
+order, so an instance that has not written the claim has sent no order since.
+Another instance may take over an engine once the claim has been unchanged for
+longer than an order's transit time plus the minimum gap between the orders of
+two holders. No clock is compared across instances, and no claim has to be
+renewed: an engine without recent orders can be taken over at once.
+
+The claim also holds the order whose effect is not known yet, so that a
+successor knows what may still arrive.
 """
 
 import dataclasses
@@ -18,24 +18,23 @@
 
 from wayslip.decisions import position
 
-# Seconds for which a written lease entitles its holder to plan; about two
-# renewals of which one may be lost.
+# Validity of a written lease; covers two renewals, of which one may be lost.
 HOLD_SECONDS = 1.2
-# Seconds between renewals.
+# Interval between renewals.
 RENEWAL_SECONDS = 0.5
-# Seconds for which a lease must be known unchanged before another takes it;
-# HOLD and the time of one slow call of the store.
+# Time for which a lease must be observed unchanged before another instance
+# takes it: the validity plus the duration of one slow store call.
 EXPIRY_SECONDS = 1.7
-# Seconds after the start of a claim's write in which its order must leave.
+# Time from the start of a claim's write within which its order must be sent.
 SEND_LIMIT_SECONDS = 0.5
-# Seconds that an order may take on its way.
+# Maximum time that an order may be in transit.
 TRANSIT_SECONDS = 0.3
-# Terms of one era of the store.
+# Number of terms reserved for each era of the store.
 _TERMS = 1_000_000
 
 
 class Action(enum.StrEnum):
-    """What an order asks of an engine."""
+    """The operation that an order requests."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -43,12 +42,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pending:
-    """An order that an engine may still take.
+    """An order that may still take effect at an engine.
 
     Attributes:
-        orders: How many orders the engine must have taken before this one;
-            with any other count it refuses.
-        adapter: Empty for the model itself.
+        orders: Number of orders that the engine must have accepted before
+            this one; the engine refuses it at any other count.
+        adapter: Name of the adapter, empty for the model itself.
     """
 
     endpoint: str
@@ -60,10 +59,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """Who orders an engine.
+    """The claim of an instance to send orders to an engine.
 
     Attributes:
-        token: Rises with every change of the holder; orders carry it.
+        token: Fencing token, sent with each order; it increases with every
+            change of the holder.
         pending: The last order, unless its effect was known when the claim
             was written.
     """
@@ -76,11 +76,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObservedClaim:
-    """A claim as one instance knows it.
+    """A claim as one instance last observed it.
 
     Attributes:
-        revision: Of the store; 0 if there is no claim.
-        since: When this instance first knew of the revision, steady seconds.
+        revision: The store's revision of the claim; 0 if there is no claim.
+        since: When this instance first observed the revision, seconds of the
+            monotonic clock.
     """
 
     claim: Claim
@@ -94,20 +95,20 @@
     """Returns the claim to write before an order.
 
     Args:
-        seen: The claim as known, None if there is none.
-        holder: Who gives the order.
+        seen: The claim as last observed, None if there is none.
+        holder: The instance that sends the order.
         pending: The order.
         min_token: The store's revision at which the holder took the lease.
-            No two holders share one and later ones are higher, so tokens
-            rise even where a claim was removed and made anew.
+            It is unique to the holder and higher for later holders, so tokens
+            increase even if a claim was removed and created again.
     """
     if seen is None:
         return Claim(pending.endpoint, holder, min_token, pending)
     token = seen.claim.token
     if seen.claim.holder != holder:
         token += 1
-    # Also a claim of our own: others may have ordered the engine between two
-    # terms of ours without a claim, with higher tokens.
+    # Also for this instance's own claim: between two of its terms another
+    # holder may have sent orders with higher tokens without writing a claim.
     token = max(token, min_token)
     return Claim(pending.endpoint, holder, token, pending)
 
@@ -115,13 +116,13 @@
 def observe_claim(
     known: ObservedClaim | None, claim: Claim, revision: int, now: float
 ) -> ObservedClaim:
-    """Returns what is known of a claim after it was read.
+    """Returns the observed state of a claim after it was read.
 
     Args:
-        known: What was known before, None for nothing.
-        claim: As it was read.
+        known: The state observed before, None if there is none.
+        claim: The claim as read.
         revision: Its position in the store's history.
-        now: Steady seconds.
+        now: Seconds of the monotonic clock.
     """
     if known is None:
         return ObservedClaim(claim, revision, now)
@@ -129,7 +130,7 @@
         return ObservedClaim(claim, revision, known.since)
     is_new_era = position.find_era(revision) > position.find_era(known.revision)
     if is_new_era and claim.token <= known.claim.token:
-        # The store has lost what is known.
+        # The store was restored from a copy and lost the known claim.
         return ObservedClaim(known.claim, revision, known.since)
     return ObservedClaim(claim, revision, now)
 
@@ -137,13 +138,13 @@
 def may_claim(
     seen: ObservedClaim | None, holder: str, min_gap: float, now: float
 ) -> bool:
-    """Whether an instance may write itself into a claim.
+    """Whether an instance may write a claim with itself as the holder.
 
     Args:
-        seen: The claim as known, None if there is none.
+        seen: The claim as last observed, None if there is none.
         holder: The instance.
-        min_gap: Seconds that two holders' orders keep apart.
-        now: Steady seconds.
+        min_gap: Minimum seconds between the orders of two holders.
+        now: Seconds of the monotonic clock.
     """
     if seen is None or seen.claim.holder == holder:
         return True
@@ -152,14 +153,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lease:
-    """The lease on planning as it is written.
+    """The planning lease as it is stored.
 
     Attributes:
         holder: The instance that holds it.
-        address: Where peers reach the holder, "IP:PORT".
-        term: Rises with every holder.
-        beat: Rises with every renewal.
-        is_released: Whether the holder has given it back.
+        address: Address of the holder for peers, "IP:PORT".
+        term: Increases with every change of the holder.
+        beat: Increases with every renewal.
+        is_released: Whether the holder has released it.
     """
 
     holder: str
@@ -169,11 +170,11 @@
     is_released: bool = False
 
     def renew(self) -> "Lease":
-        """Returns the lease with a new beat."""
+        """Returns the lease after a renewal."""
         return dataclasses.replace(self, beat=self.beat + 1)
 
     def release(self) -> "Lease":
-        """Returns the lease of a holder that gives it back."""
+        """Returns the lease after its holder released it."""
         return dataclasses.replace(self, beat=self.beat + 1, is_released=True)
 
 
@@ -181,19 +182,20 @@
     """Returns the term of an instance that takes the lease.
 
     Args:
-        highest: The highest term that is known.
-        era: Of the store's history. Terms of an earlier one may have been lost
-            with the last writes, and none may be given out twice.
+        highest: The highest known term.
+        era: Era of the store's history. Terms of an earlier era may have been
+            lost with its last writes, and no term may be used twice.
     """
     return max(highest, era * _TERMS) + 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObservedLease:
-    """A lease as an instance sees it.
+    """A lease as one instance last observed it.
 
     Attributes:
-        since: When this very revision was first heard of, steady seconds.
+        since: When this revision was first observed, seconds of the monotonic
+            clock.
     """
 
     lease: Lease
@@ -204,7 +206,7 @@
 def observe_lease(
     observed: ObservedLease | None, lease: Lease, revision: int, now: float
 ) -> ObservedLease:
-    """Returns the sight after a lease was read."""
+    """Returns the observed state after a lease was read."""
     if observed is not None and observed.revision == revision:
         return dataclasses.replace(observed, lease=lease)
     return ObservedLease(lease, revision, now)
@@ -213,8 +215,8 @@
 def seconds_until_free(observed: ObservedLease, name: str, now: float) -> float:
     """Returns the seconds until an instance may take the lease.
 
-    An instance whose process started again may take its own lease at once:
-    the process before is gone.
+    A restarted instance may take its own lease at once, as its previous
+    process has ended.
     """
     if observed.lease.holder == name or observed.lease.is_released:
         return 0.0
@@ -222,5 +224,5 @@
 
 
 def may_take(observed: ObservedLease, name: str, now: float) -> bool:
-    """Whether an instance may write itself into the lease."""
+    """Whether an instance may take the lease now."""
     return seconds_until_free(observed, name, now) <= 0.0
--- a/src/wayslip/decisions/ledger.py
+++ b/src/wayslip/decisions/ledger.py
@@ -1,16 +1,16 @@
 """The memory ledger of one engine.
 
-Whatever may be in an engine's memory is charged here first, by a conditional
-update of the engine's ledger object, and stays charged until it is known not
-to be there. A send of an order is an attempt; it is written into the ledger
-before the order leaves, and each attempt is sent at most once.
+Every item that may be in an engine's memory is charged here first, by a
+conditional update of the engine's ledger object, and stays charged until it is
+known to be absent. Each send of an order is an attempt; it is written into the
+ledger before the order is sent, and each attempt is sent at most once.
 
 An engine that checks fences settles old attempts itself: once it has seen
-fence N for its present boot, no attempt up to N can take effect any more. At
-an engine that does not, an attempt is settled only by its own sender, or once
-the sender is gone for longer than an order can stay under way. Until then its
-charge stays and no opposite order for the same item may be written, so a
-sender that was paused between its last check and its send does no harm.
+fence N in its current boot, no attempt with a fence up to N can take effect.
+At an engine that does not, an attempt is settled only by its own sender, or
+once the sender has been gone for longer than an order can be in transit. Until
+then its charge stays and no opposite order for the same item may be written,
+so a sender that was paused between its last check and its send does no harm.
 
 Sizes are bytes of accelerator memory.
 """
@@ -23,7 +23,7 @@
 
 
 class Action(enum.StrEnum):
-    """What an order asks of an engine."""
+    """The operation that an order requests."""
 
     LOAD = "load"
     UNLOAD = "unload"
@@ -31,7 +31,7 @@
 
 
 class Phase(enum.StrEnum):
-    """How much is known of a charged item."""
+    """What is known about a charged item."""
 
     RESERVED = "reserved"
     LOADING = "loading"
@@ -39,7 +39,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What an engine answered to an order."""
+    """An engine's answer to an order."""
 
     APPLIED = "applied"
     REFUSED = "refused"
@@ -47,12 +47,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Charge:
-    """Memory that an item takes, or may take.
+    """Memory that an item occupies, or may occupy.
 
     Attributes:
         fence: The fence of the last order to load it.
         ordered_boot: The engine's boot that this order was for.
-        boot: The engine's boot in which it was last seen, 0 if never.
+        boot: The engine's boot in which the item was last reported, 0 if it
+            was never reported.
     """
 
     item: str
@@ -69,8 +70,8 @@
 
     Attributes:
         sender: The process that may send it, see `membership.Member`.
-        given_up: When the sender stopped waiting for the answer, or was
-            found gone, in seconds of the wall clock; 0 before that.
+        given_up: When the sender stopped waiting for the answer, or was found
+            to have ended, in seconds of the wall clock; 0 before that.
     """
 
     id: str
@@ -84,12 +85,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Residency:
-    """What an engine says it holds.
+    """The items that an engine reports.
 
     Attributes:
-        boot: Start of the engine's process, milliseconds; rises.
+        boot: Start time of the engine's process, milliseconds; it increases
+            with each restart.
         fence: The highest fence seen in this boot, 0 if it checks none.
-        loading: Items that take memory and can not serve yet.
+        loading: Items that occupy memory but can not serve yet.
         resident: Items that can serve.
     """
 
@@ -100,7 +102,7 @@
 
     @property
     def held(self) -> frozenset[str]:
-        """All items that take memory."""
+        """All items that occupy memory."""
         return self.loading | self.resident
 
 
@@ -111,9 +113,9 @@
     Attributes:
         capacity: Bytes for weights and adapters.
         checks_fence: Whether the engine refuses orders with an old fence.
-        boot: The newest boot that was observed.
-        fence: The highest fence that was given out.
-        generation: The newest configuration that an order followed.
+        boot: The newest observed boot.
+        fence: The highest fence that was issued.
+        generation: The newest configuration generation that an order followed.
     """
 
     engine: str
@@ -129,12 +131,12 @@
 
     @property
     def charged(self) -> int:
-        """Bytes that are or may be taken."""
+        """Bytes that are or may be occupied."""
         return sum(c.size for c in self.charges)
 
     @property
     def free(self) -> int:
-        """Bytes that a new item may take."""
+        """Bytes available to a new item."""
         return self.capacity - self.charged
 
     def get(self, item: str) -> Charge | None:
@@ -151,19 +153,20 @@
                 return attempt
         return None
 
-    # Writing an order down before it is sent
+    # Recording an order before it is sent
 
     def follow(self, generation: int) -> "Ledger | refusals.Refusal":
-        """Returns the ledger with orders following a configuration.
+        """Returns the ledger after orders follow a configuration.
 
-        A control that has not heard of a newer configuration must not evict
-        what that one wants.
+        A control process that has not received a newer configuration must not
+        evict items that the newer one places.
         """
         if generation < self.generation:
             return refusals.Refusal(
                 refusals.Reason.WORLD_CHANGED,
                 f"{self.engine} follows generation {self.generation},"
-                f" this control only has {generation}; wait for it",
+                f" this control process has {generation}; wait until it has"
+                " caught up",
                 retry_after=1.0,
             )
         return dataclasses.replace(self, generation=generation)
@@ -215,10 +218,11 @@
         return self._begin(attempt)
 
     def _may_order(self, item: str, action: Action) -> bool:
-        """Whether a new order can not meet an unsettled one badly.
+        """Whether a new order can not conflict with an unsettled one.
 
-        A fence settles a repeated order of the same kind. Without one, two
-        answers to two sends may arrive in the wrong order, so the item waits.
+        A newer fence settles an earlier order of the same kind. Without
+        fences, the answers to two sends may arrive in the wrong order, so the
+        item has to wait.
         """
         if self.checks_fence and not self.boot:
             return False
@@ -241,12 +245,12 @@
     def settle(
         self, attempt_id: str, outcome: Outcome, residency: Residency
     ) -> "Ledger":
-        """Returns the ledger after the sender got an engine's answer.
+        """Returns the ledger after the sender received an engine's answer.
 
         Args:
             attempt_id: The attempt; one that is already settled is ignored.
-            outcome: What the engine did.
-            residency: What the engine held right after.
+            outcome: The engine's answer.
+            residency: The items that the engine held right after the order.
         """
         attempt = self.find_attempt(attempt_id)
         if attempt is None:
@@ -283,7 +287,7 @@
         return dataclasses.replace(self, attempts=attempts)
 
     def give_up_sender(self, sender: str, now: float) -> "Ledger":
-        """Returns the ledger after a sender's process was found gone."""
+        """Returns the ledger after a sender's process was found ended."""
         ledger = self
         for attempt in self.attempts:
             if attempt.sender == sender:
@@ -293,13 +297,13 @@
     def observe(
         self, residency: Residency, now: float, quarantine: float
     ) -> "Ledger":
-        """Returns the ledger after a report, which may be an old one.
+        """Returns the ledger after a report, which may be outdated.
 
         Args:
-            residency: What the engine held at some time in the past.
+            residency: The items that the engine held when it reported.
             now: Seconds of the wall clock.
             quarantine: Seconds after which an order whose sender gave up has
-                arrived or never will, and every report shows it.
+                either arrived and appears in every report, or never arrives.
         """
         if residency.boot < self.boot:
             return self
@@ -323,7 +327,7 @@
         quarantine: float,
     ) -> bool:
         if self.checks_fence:
-            # An order names the boot it is for, so a newer boot refuses it.
+            # An order names its target boot, so a newer boot refuses it.
             return (
                 attempt.boot < residency.boot
                 or attempt.fence <= residency.fence
@@ -341,13 +345,13 @@
             return self._with(_update_charge(charge, residency))
         if any(a.item == item for a in self.attempts):
             return self
-        # The report may be older than a later order for the same item.
+        # The report may predate a later order for the same item.
         if self.checks_fence and not _is_after_order(charge, residency):
             return self
         return self._without(item)
 
     def _confirm(self, residency: Residency) -> "Ledger":
-        """Brings charges with no attempt under way in line with a report."""
+        """Updates the charges without unsettled attempts from a report."""
         ledger = self
         busy = {a.item for a in self.attempts}
         for charge in self.charges:
@@ -362,10 +366,11 @@
     def _is_gone(self, charge: Charge, residency: Residency) -> bool:
         if self.checks_fence:
             return _is_after_order(charge, residency)
-        # Without fences an old report looks like a new one.
+        # Without fences, an outdated report of the same boot can not be told
+        # from a current one.
         return bool(charge.boot) and residency.boot > charge.boot
 
-    # Small new ledgers
+    # Copies with one change
 
     def _with(self, charge: Charge) -> "Ledger":
         others = tuple(c for c in self.charges if c.item != charge.item)
@@ -379,7 +384,7 @@
         check_fits(new)
         if new.fence < self.fence or new.boot < self.boot:
             raise errors.InvariantError(
-                f"the fence or boot of {self.engine} would fall"
+                f"the fence or boot of {self.engine} would decrease"
             )
         return new
 
@@ -394,7 +399,7 @@
 
 
 def _is_after_order(charge: Charge, residency: Residency) -> bool:
-    """Whether a report was made after the item's last load was decided."""
+    """Whether a report was made after the last order to load the item."""
     reported = (residency.boot, residency.fence)
     return reported >= (charge.ordered_boot, charge.fence)
 
@@ -402,14 +407,14 @@
 def _pending(item: str) -> refusals.Refusal:
     return refusals.Refusal(
         refusals.Reason.ORDER_PENDING,
-        f"an earlier order for {item} is not settled, or the engine was not"
-        " seen yet; wait for it",
+        f"an earlier order for {item} is not settled, or the engine has not"
+        " reported yet; wait for it",
         retry_after=1.0,
     )
 
 
 def check_fits(ledger: Ledger) -> None:
-    """Asserts the first promise: all that may be there fits.
+    """Asserts that all items that may be in memory fit the capacity.
 
     Raises:
         InvariantError: The charges exceed the capacity.
--- a/src/wayslip/decisions/load_spreading.py
+++ b/src/wayslip/decisions/load_spreading.py
@@ -1,28 +1,29 @@
-"""Shares requests out over endpoints whose load is known late.
+"""Distributes requests over endpoints whose load is known with a delay.
 
 Load pattern: many instances send requests for one model to its few copies.
-Each knows what waits at a copy only from the last word of the lease's holder,
-up to a report's and a state's interval old. If all send to the copy with the
-shortest queue, what they send in that time lands on one of them: the others
-idle, and then the next one is flooded. The more instances and the older the
-word, the worse.
-
-So what is expected to come in that time, from all instances, is thought to be
-poured over the copies until all stand equally high. A request goes to each
-copy in proportion to its part of that. Where little comes, the best copy gets
-all; where much comes, nearly equal copies get nearly equal parts.
+Each instance knows the queue at a copy only from the last update of the lease
+holder, which is up to one report interval plus one state interval old. If all
+instances chose the copy with the shortest queue, all requests of that time
+would go to one copy while the others idle, and then to the next one. The
+effect grows with the number of instances and the age of the update.
+
+The work expected from all instances within that delay is therefore allocated
+to the copies by water-filling: it raises the lowest costs until they are
+equal. Each copy is chosen with a probability proportional to its allocation.
+With little unseen work the best copy gets all requests; with much, copies of
+nearly equal cost get nearly equal shares.
 """
 
 from collections.abc import Sequence
 
 
 def split_load(costs: Sequence[float], unseen: float) -> list[float]:
-    """Returns each endpoint's share of what is coming; they sum to one.
+    """Returns each endpoint's share of the requests; the shares sum to one.
 
     Args:
-        costs: The wait at each endpoint as known, seconds; at least one.
-        unseen: Work that comes from all instances before it is known of,
-            seconds; the best endpoints share it where it is nothing.
+        costs: The last known wait at each endpoint, seconds; at least one.
+        unseen: Work that all instances send before it is reported, seconds;
+            with 0, the endpoints of the lowest cost get equal shares.
     """
     level = _find_water_level(costs, unseen)
     parts = [max(level - cost, 0.0) for cost in costs]
@@ -35,7 +36,7 @@
 
 
 def _find_water_level(costs: Sequence[float], unseen: float) -> float:
-    """Returns how high the costs stand once the unseen work is poured on."""
+    """Returns the cost level after water-filling the unseen work."""
     ordered = sorted(costs)
     filled = 0.0
     for count, cost in enumerate(ordered):
@@ -47,16 +48,16 @@
 
 
 def draw(shares: Sequence[float], number: float) -> int:
-    """Returns an index by shares.
+    """Returns an index, chosen in proportion to the shares.
 
     Args:
-        shares: They sum to one.
-        number: Drawn from [0, 1).
+        shares: Probabilities that sum to one.
+        number: A random number from [0, 1).
     """
     left = number
     for index, share in enumerate(shares):
         left -= share
         if left < 0.0:
             return index
-    # Rounding: the last one that has a share.
+    # Rounding errors may leave a remainder: use the last non-zero share.
     return max(i for i, share in enumerate(shares) if share > 0.0)
--- a/src/wayslip/decisions/loading.py
+++ b/src/wayslip/decisions/loading.py
@@ -1,8 +1,7 @@
-"""Which model is loaded on which engine next, and what makes way for it.
+"""Chooses the next model to load, its engine and the models to evict.
 
-A load is planned where what it gains over a horizon, less the time it takes,
-exceeds what is lost with the models that make way; see `copies`. Times are
-seconds.
+A load is planned if its gain over a horizon, less the time that it takes,
+exceeds the loss from the evicted models; see `copies`. Times are seconds.
 """
 
 from collections.abc import Mapping
@@ -11,19 +10,19 @@
 from wayslip.decisions import copies
 from wayslip.decisions import manifest
 
-# What a load has to gain at least, requests. Its price is a third of one; the
-# rest is against loads for a single request, which in trials cost the busier
-# models more than they served (docs/design/platform.md).
+# Minimum gain of a load, requests. A load costs a third of a request; the rest
+# prevents loads for a single request, which cost the busier models more
+# requests than they serve (see docs/design/platform.md).
 MIN_GAIN = 1.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """A model to load, and the models that make way first.
+    """A model to load, and the models to evict first.
 
     Attributes:
-        is_cold: Whether it comes from the weight store.
-        seconds: How long the load is expected to take.
+        is_cold: Whether it is loaded from the weight store.
+        seconds: Expected duration of the load.
     """
 
     engine: str
@@ -40,12 +39,12 @@
     demand: Mapping[str, copies.Demand],
     may_load_cold: bool,
 ) -> Step | None:
-    """Returns the load that gains most, None if none pays."""
+    """Returns the load with the largest gain, None if none is worthwhile."""
     world = copies.World(engines, pool, demand)
     copy_values = {
         m: world.find_copy_value(m) for m in demand if m in pool.models
     }
-    # What each gains if it could serve at once on an idle engine.
+    # Upper bounds: the gain if the model could serve at once on an idle engine.
     bounds = sorted(
         (
             (copy_value.gain(0.0, copies.BUSY_SHARE), m)
@@ -55,13 +54,13 @@
     )
     best: Step | None = None
     for bound, name in bounds:
-        # No later model can gain more than this one could at most.
+        # The bounds are sorted, so no later model can gain more.
         if bound <= max(best.gain if best else 0.0, MIN_GAIN):
             break
         model = pool.models[name]
         for engine in world.list_free(model.weights_mb):
             room = world.find_room(engine, model.weights_mb)
-            # Nor can it on an engine where more is lost.
+            # Engines are sorted by loss, so no later engine can be better.
             if bound - room.loss <= max(best.gain if best else 0.0, MIN_GAIN):
                 break
             if name in engine.models:
@@ -109,8 +108,9 @@
     """Returns the engine that should load an adapter.
 
     Args:
-        adapters: Adapters on each engine that holds the adapter's model.
-        slots: Places for adapters on an engine.
+        adapters: Number of adapters on each engine that holds the adapter's
+            model.
+        slots: Adapter slots of an engine.
         load: Requests at each engine.
     """
     return min(
--- a/src/wayslip/decisions/manifest.py
+++ b/src/wayslip/decisions/manifest.py
@@ -1,6 +1,6 @@
-"""Routes, services and models that the operator wants in force.
+"""The routes, services and models that the operator configured.
 
-A manifest is replaced whole by one with a higher version. All values here are
+A manifest is replaced as a whole by one with a higher version. All values are
 frozen; times are seconds and sizes megabytes unless a name says otherwise.
 """
 
@@ -13,7 +13,7 @@
 
 
 class RequestKind(enum.StrEnum):
-    """What may be done with a request after an attempt at it failed."""
+    """How a request may be retried after a failed attempt."""
 
     IDEMPOTENT = "idempotent"
     ONCE = "once"
@@ -27,7 +27,7 @@
     Attributes:
         weights_mb: Accelerator memory of the weights.
         adapter_mb: Accelerator memory of each of its adapters.
-        adapters: The names of its adapters.
+        adapters: Names of its adapters.
         load_s: Time to load from the weight store.
         disk_s: Time to load from the engine's own disk.
         warm_s: Time to load from the engine's host memory.
@@ -44,14 +44,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pool:
-    """What every engine of a service has.
+    """Resources of each engine of a service, and the models that it may load.
 
     Attributes:
-        slots: Requests that run at once.
+        slots: Requests that run concurrently.
         kv_tokens: Tokens of running requests and cached prompts together.
         weights_mb: Memory for weights and adapters together.
-        adapter_slots: Adapters that may be loaded at once.
+        adapter_slots: Adapters that may be loaded at the same time.
         loads_per_s: Loads from the weight store, over all engines.
+        models: Models by name.
     """
 
     slots: int
@@ -64,9 +65,9 @@
     def find_memory_mb(self, model: str, adapter: str = "") -> float:
         """Returns the memory of a model or adapter, megabytes.
 
-        An engine may hold one that is not named here any more. It takes as
-        much as the heaviest that is; as nothing, it would make the engine be
-        ordered over its memory.
+        An engine may hold a model or adapter that is no longer configured. It
+        is counted with the size of the largest configured one; counted as
+        zero, it would allow orders that exceed the engine's memory.
         """
         spec = self.models.get(model)
         known = self.models.values() if spec is None else (spec,)
@@ -77,10 +78,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """Endpoints that answer alike.
+    """A group of interchangeable endpoints.
 
     Attributes:
-        max_connections: Connections one endpoint takes from all instances.
+        max_connections: Connections that one endpoint accepts from all
+            instances together.
         pool: None for a plain service.
     """
 
@@ -99,14 +101,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of a host and path prefix go, and how.
+    """How requests for a host and path prefix are served.
 
     Attributes:
-        timeout: Longest time a request may take.
-        target: Time to the answer, or first event, that is aimed at.
+        timeout: Maximum duration of a request.
+        target: Latency target, until the answer or the first event.
         priority: Urgency, 0 is the most urgent.
-        max_attempts: Endpoints one request may be sent to.
-        is_resumable: Whether another endpoint may go on with a stream.
+        max_attempts: Maximum number of endpoints that a request is sent to.
+        is_resumable: Whether another endpoint may continue a stream.
         is_public: Whether requests need no key.
     """
 
@@ -124,13 +126,17 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Whether running a request twice does no harm."""
+        """Whether a request may safely run twice."""
         if self.kind is RequestKind.STREAM:
             return self.is_resumable
         return self.kind is RequestKind.IDEMPOTENT
 
     def choose_service(self, draw: float) -> str:
-        """Returns a service by weight; draw is from [0, 1)."""
+        """Returns a service by weight.
+
+        Args:
+            draw: A random number from [0, 1).
+        """
         total = sum(s.weight for s in self.splits)
         left = draw * total
         for split in self.splits:
@@ -142,7 +148,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what one client may send or how long it may take."""
+    """Limits on the size and duration of a client's request."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -152,11 +158,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Manifest:
-    """A whole configuration.
+    """A complete configuration.
 
     Attributes:
-        organisations: Whose keys requests have to carry; without any, no
-            request needs one.
+        organisations: Organisations whose keys authorise requests; if there
+            are none, no request needs a key.
     """
 
     version: int
@@ -171,7 +177,7 @@
 
     @functools.cached_property
     def caller_priorities(self) -> tuple[int, ...]:
-        """Priorities of organisations, each once, the most urgent first."""
+        """Distinct priorities of organisations, the most urgent first."""
         known = {
             organisations_module.DEFAULT_PRIORITY
             if o.priority is None
@@ -182,13 +188,13 @@
 
     @functools.cached_property
     def route_priorities(self) -> tuple[int, ...]:
-        """Priorities of routes, each once, the most urgent first."""
+        """Distinct priorities of routes, the most urgent first."""
         return tuple(sorted({r.priority for r in self.routes}))
 
     def find_caller(
         self, digest: bytes | None
     ) -> organisations_module.Organisation | None:
-        """Returns the organisation that holds a key, by the key's digest."""
+        """Returns the organisation of a key, by the key's digest."""
         return None if digest is None else self._by_key.get(digest)
 
     @functools.cached_property
@@ -201,7 +207,7 @@
         return hosts
 
     def resolve(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix of a path."""
+        """Returns the route with the longest matching prefix of a path."""
         for route in self._by_host.get(host, ()):
             if path.startswith(route.prefix):
                 return route
--- a/src/wayslip/decisions/membership.py
+++ b/src/wayslip/decisions/membership.py
@@ -1,12 +1,13 @@
-"""Which daemons are there, by probing one random peer at a time.
+"""Membership of daemons, by probing one random peer at a time.
 
-The protocol follows SWIM (Das, Gupta and Motivala, 2002): each period a
-member probes one other, through a few helpers when it does not answer, and
-news rides on the probes. A suspect can refute with a higher incarnation. So
-a member's cost does not grow with the fleet, and there is no full mesh.
+The protocol follows SWIM (Das, Gupta and Motivala, 2002): in each period a
+member probes one other member, and probes it indirectly through a few relays
+if it does not answer. Membership updates are piggybacked on the probes. A
+suspect refutes a suspicion with a higher incarnation. The cost of a member
+therefore does not grow with the fleet, and no full mesh is needed.
 
-The object is one member's state. It does no I/O: calls take the time and
-return the messages to send.
+`Membership` is the state of one member. It does no I/O: its methods take the
+time and return the messages to send.
 """
 
 from collections.abc import Iterable
@@ -23,14 +24,14 @@
 
 
 class Role(enum.StrEnum):
-    """The programs that are members."""
+    """The program that a member runs."""
 
     ENTRY = "entry"
     CONTROL = "control"
 
 
 class Status(enum.StrEnum):
-    """What a member is thought to be; later ones win at one incarnation."""
+    """State of a member; later values win within one incarnation."""
 
     ALIVE = "alive"
     LEAVING = "leaving"
@@ -47,8 +48,8 @@
 
     Attributes:
         name: Role and instance, "entry/kolkata-1".
-        boot: Start of the process, milliseconds; never changes in its life.
-        incarnation: Begins at `boot` and is raised to refute a suspicion.
+        boot: Start time of the process, milliseconds; constant while it runs.
+        incarnation: Starts at `boot` and is increased to refute a suspicion.
     """
 
     name: str
@@ -61,11 +62,11 @@
 
     @property
     def process(self) -> str:
-        """Names this very process; another start has another name."""
+        """Identifies the process; it differs after a restart."""
         return f"{self.name}#{self.boot}"
 
     def supersedes(self, other: "Member") -> bool:
-        """Whether this word on a member replaces another."""
+        """Whether this update on a member replaces another one."""
         if self.incarnation != other.incarnation:
             return self.incarnation > other.incarnation
         return _PRECEDENCE[self.status] > _PRECEDENCE[other.status]
@@ -81,11 +82,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Message:
-    """A probe with news.
+    """A probe message with piggybacked membership updates.
 
     Attributes:
-        seq: Number that the answer repeats.
-        sender: Name of the member that sends it.
+        seq: Sequence number, repeated by the answer.
+        sender: Name of the sending member.
+        news: Membership updates.
         subject: For a relay, the address to probe.
     """
 
@@ -98,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outgoing:
-    """A message and the address it goes to."""
+    """A message and its destination address."""
 
     address: str
     message: Message
@@ -106,7 +108,15 @@
 
 @dataclasses.dataclass(slots=True)
 class _Pending:
-    """A probe that waits for its answer."""
+    """A probe that was not answered yet.
+
+    Attributes:
+        name: The probed member, empty if only its address is known.
+        sent: When it was sent.
+        relayed: Whether relays were asked to probe the member too.
+        answer_to: For a relayed probe, the address that asked for it.
+        answer_seq: For a relayed probe, the sequence number to answer with.
+    """
 
     name: str
     sent: float
@@ -116,7 +126,7 @@
 
 
 class Membership:
-    """One member's view of all."""
+    """One member's view of all members."""
 
     def __init__(
         self,
@@ -133,7 +143,7 @@
         self._rng = rng
         self._members: dict[str, Member] = {me.name: me}
         self._changed: dict[str, float] = {}
-        # Suspects and the dead, so that a tick looks at few members.
+        # Suspect and dead members, so that a tick only scans these.
         self._unhealthy: set[str] = set()
         self._sends_left: dict[str, int] = {}
         self._pending: dict[int, _Pending] = {}
@@ -146,11 +156,11 @@
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """All members that are remembered, dead ones for a while."""
+        """All known members; dead ones are kept for a limited time."""
         return tuple(self._members.values())
 
     def live(self, role: Role | None = None) -> tuple[Member, ...]:
-        """Returns the members that work, suspects included."""
+        """Returns the alive and suspect members."""
         working = (Status.ALIVE, Status.SUSPECT)
         return tuple(
             m
@@ -163,20 +173,23 @@
         return self._members.get(name)
 
     def pick(self, count: int) -> list[Member]:
-        """Returns some random live members besides this one."""
+        """Returns up to `count` random live members except this one."""
         others = [m for m in self.live() if m.name != self.me.name]
         return self._rng.sample(others, min(count, len(others)))
 
     # Events
 
     def leave(self) -> None:
-        """Starts to tell the others that this member is stopping."""
+        """Starts to announce that this member is leaving."""
         self.me = dataclasses.replace(self.me, status=Status.LEAVING)
         self._members[self.me.name] = self.me
         self._enqueue_update(self.me)
 
     def tick(self, now: float) -> list[Outgoing]:
-        """Returns the messages that are due; call it several times a period."""
+        """Returns the messages that are due.
+
+        To be called several times a period.
+        """
         self._expire(now)
         out = self._check_pending(now)
         if now >= self._next_probe:
@@ -201,7 +214,7 @@
         return self._settle(message, now)
 
     def merge(self, member: Member, now: float) -> bool:
-        """Takes in word of a member; returns whether it was news."""
+        """Applies an update on a member; returns whether it was new."""
         if member.name == self.me.name:
             return self._refute(member)
         known = self._members.get(member.name)
@@ -248,9 +261,9 @@
         return [self._send(s, _Pending("", now)) for s in self._seeds]
 
     def _list_rejoin_addresses(self) -> list[str]:
-        """Returns addresses to try again, so that parted halves meet again.
+        """Returns addresses to probe so that a healed partition can rejoin.
 
-        The dead are forgotten after a while; the seeds never are.
+        Dead members are dropped after a time; the seeds never are.
         """
         dead = [
             self._members[n].address
@@ -261,7 +274,7 @@
         return [*dead, *(s for s in self._seeds if s not in known)]
 
     def _next_target(self) -> Member | None:
-        # Round robin over a shuffled list bounds the time to find a death.
+        # Round robin over a shuffled list bounds the failure detection time.
         while self._order:
             member = self._members.get(self._order.pop())
             if member and member.status is not Status.DEAD:
@@ -331,7 +344,7 @@
                 self._changed.pop(member.name, None)
                 self._sends_left.pop(member.name, None)
 
-    # News
+    # Updates
 
     def _enqueue_update(self, member: Member) -> None:
         count = max(len(self._members), 2)
@@ -359,8 +372,9 @@
             self._sends_left[name] -= 1
             if self._sends_left[name] <= 0:
                 del self._sends_left[name]
-        # The sender itself always rides along: it proves that it lives. So
-        # does word of the receiver's own death or suspicion, to be refuted.
+        # Each message carries the sender's own state, which shows that it is
+        # alive, and the recipient's state as known here, so that the recipient
+        # can refute a suspicion or its death.
         if recipient in self._members:
             chosen.append(recipient)
         news = {n: self._members[n] for n in chosen if n in self._members}
--- a/src/wayslip/decisions/organisations.py
+++ b/src/wayslip/decisions/organisations.py
@@ -1,21 +1,21 @@
-"""Who calls: organisations, their keys and their quotas.
+"""Organisations, their keys and their quotas.
 
-A key is held as its digest only. What an attacker could learn from the time
-that a lookup takes is then how far two digests agree, which says nothing of
-the key; and neither a dump, a log nor a copy of the configuration shows it.
+Only the digest of a key is stored. The duration of a lookup can then reveal
+only how many leading bytes of two digests agree, which reveals nothing about
+the key. Dumps, logs and copies of the configuration do not contain the key.
 """
 
 import dataclasses
 import enum
 import hashlib
 
-# Of an organisation that has none: what engines take where none is told, from
-# the operators' pages.
+# Priority of an organisation without one: the default that engines use for
+# requests without a priority.
 DEFAULT_PRIORITY = 5
 
 
 class Unit(enum.StrEnum):
-    """What a quota counts."""
+    """The unit in which a quota is counted."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -23,13 +23,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quota:
-    """What an organisation may send over all instances together.
+    """The quota of an organisation, over all instances together.
 
     Attributes:
-        rate: Units a second; 0 for no limit.
-        burst: Units on top that may be saved up.
-        unit: What is counted.
-        plain: Units of a request that tells no number of tokens.
+        rate: Units per second; 0 for no limit.
+        burst: Units that may accumulate while the rate is not used.
+        unit: The unit of the quota.
+        plain: Tokens counted for a request that does not state its tokens.
     """
 
     rate: float = 0.0
@@ -46,8 +46,8 @@
         """Returns the units of a request.
 
         Args:
-            tokens: Of its prompt and the most it may generate; 0 if it tells
-                none.
+            tokens: Tokens of its prompt plus the most it may generate; 0 if
+                it does not state them.
         """
         if self.unit is Unit.REQUESTS:
             return 1.0
@@ -56,12 +56,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Organisation:
-    """A customer whose requests carry one of its keys.
+    """A customer, identified by the key of a request.
 
     Attributes:
         keys: Digests of its keys; see `hash_key`.
-        priority: Of its requests, before that of the route; None for the
-            route's own.
+        priority: Priority of its requests, which takes precedence over that of
+            the route; None to use the route's.
+        quota: Its quota over all instances.
     """
 
     name: str
@@ -71,9 +72,9 @@
 
 
 def hash_key(key: bytes) -> bytes:
-    """Returns the digest under which a key is held.
+    """Returns the digest under which a key is stored.
 
-    Keys are drawn at random and are long, so a plain hash can not be undone by
-    guessing; a slow one would cost every request what it costs a guess.
+    Keys are long and random, so a fast hash can not be reversed by guessing. A
+    slow password hash would add its cost to every request.
     """
     return hashlib.sha256(key).digest()
--- a/src/wayslip/decisions/ownership.py
+++ b/src/wayslip/decisions/ownership.py
@@ -1,9 +1,9 @@
-"""Which process usually does a piece of work.
+"""Chooses the process that is expected to do a piece of work.
 
-Rendezvous hashing over the live members: no lease, no write, and the loss of
-a member moves only its own share. It decides who acts first, never who may:
-two members that see different lists may both act, and the conditional updates
-of the objects keep that safe.
+Uses rendezvous hashing over the live members: it needs no lease and no write,
+and the loss of a member moves only that member's share. Ownership is a
+preference, not a lock: two members with different lists may both act, and the
+conditional updates of the objects keep that safe.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 
 
 def rank_owners(subject: str, members: Iterable[str]) -> list[str]:
-    """Returns the members, the usual owner of a subject first."""
+    """Returns the members, the preferred owner of a subject first."""
     return sorted(
         members,
         key=lambda member: _weigh(subject, member),
@@ -21,7 +21,7 @@
 
 
 def find_owner(subject: str, members: Iterable[str]) -> str | None:
-    """Returns the usual owner of a subject, None without members."""
+    """Returns the preferred owner of a subject, None without members."""
     return max(
         members,
         key=lambda member: _weigh(subject, member),
--- a/src/wayslip/decisions/permits.py
+++ b/src/wayslip/decisions/permits.py
@@ -1,9 +1,9 @@
-"""Places in the limit that an endpoint names for all instances together.
+"""Permits under the rate limit that an endpoint states for all instances.
 
-The lease's holder keeps an account for each endpoint that names a limit and
-gives out its places one at a time, on demand. Parts in proportion to demand, as
-quotas have them, do not serve here: a limit may be one request a second, and a
-part of that is less than a request at every instance.
+The lease holder keeps a token bucket for each endpoint that states a limit and
+grants its permits one at a time, on demand. Shares in proportion to demand, as
+used for quotas, do not work here: a limit may be one request a second, and
+each instance's share of that would be less than one request.
 
 Rates are requests a second, times seconds.
 """
@@ -12,30 +12,32 @@
 
 from wayslip.decisions import quota
 
-# Places that may be saved up.
+# Permits that may accumulate.
 BURST = 2.0
-# A place is promised for this far ahead at most, seconds, or for the next one:
-# a holder's promises are kept while its successor gives places out anew.
+# A permit is granted at most this long before it can be used, or for the next
+# permit if that takes longer: permits granted in advance are still used after
+# the lease changed hands, while the new holder grants permits of its own.
 MAX_ADVANCE_SECONDS = 1.0
-# An endpoint that wants nothing at all is asked so often, requests a second:
-# only its answers tell when the limit ends.
+# Minimum rate, requests a second, for an endpoint with a limit of 0: only its
+# answers tell when the limit ends.
 MIN_RATE = 0.1
-# Part of the places that our own calls may take: reports and orders. They come
-# several times a second while an order is under way.
+# Share of the permits for the instances' own calls, reports and orders. These
+# are sent several times a second while an order is pending.
 INTERNAL_CALLS_SHARE = 0.25
-# While no holder is heard about so many instances use a limited endpoint, each
-# with an even part. Together they save up so many places at most.
+# Number of instances that use a limited endpoint, with equal shares, while the
+# lease holder is not reachable. This also bounds the permits that they
+# accumulate together.
 MAX_USERS_WITHOUT_HOLDER = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What was decided on a request for a place.
+    """The decision on a request for a permit.
 
     Attributes:
-        is_granted: Whether the place is the asker's.
-        wait: Seconds from now until it may be used; if it was not granted,
-            until one is free.
+        is_granted: Whether the permit was granted.
+        wait: Seconds from now until the permit may be used; if it was not
+            granted, until one is available.
     """
 
     is_granted: bool
@@ -47,12 +49,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PermitBucket:
-    """The places of one endpoint.
+    """The token bucket of one endpoint.
 
     Attributes:
-        rate: That places are given at.
-        level: Of the places saved up; below zero they are promised already.
-        burst: The most that are saved up.
+        rate: Permits granted per second.
+        level: Available permits; below zero, permits were granted in advance.
+        burst: Maximum number of available permits.
     """
 
     rate: float
@@ -63,15 +65,15 @@
     def begin(
         cls, rate: float, now: float, burst: float = BURST
     ) -> "PermitBucket":
-        """Returns the account of an endpoint of which nothing is known.
+        """Returns the bucket of an endpoint whose limit is newly known.
 
-        What went there before the limit was named, or by a holder before,
-        counts too.
+        It starts empty, to account for requests sent before the limit was
+        stated or under a previous lease holder.
         """
         return cls(max(rate, MIN_RATE), quota.Level(0.0, now), burst)
 
     def change_rate(self, rate: float, now: float) -> "PermitBucket":
-        """Returns the account under another limit from now on."""
+        """Returns the bucket with another limit from now on."""
         settled = self._settle(now)
         return dataclasses.replace(settled, rate=max(rate, MIN_RATE))
 
@@ -82,14 +84,14 @@
     def take(
         self, max_wait: float, now: float
     ) -> tuple["PermitBucket", Verdict]:
-        """Takes a place, or one that will be free soon.
+        """Takes a permit, or one that will be available soon.
 
         Args:
-            max_wait: Seconds that the asker can wait for it.
-            now: Steady seconds.
+            max_wait: Seconds that the requester can wait for it.
+            now: Seconds of the monotonic clock.
 
         Returns:
-            The account afterwards, and what was decided.
+            The bucket afterwards, and the decision.
         """
         settled = self._settle(now)
         wait = max(1.0 - settled.level.units, 0.0) / self.rate
@@ -101,15 +103,15 @@
 
 
 def find_share(rate: float, instances: int, draw: float) -> float | None:
-    """Returns the part of a limit that an instance keeps to by itself.
+    """Returns an instance's share of a limit without the lease holder.
 
     Args:
         rate: The limit.
-        instances: How many instances there are.
-        draw: From [0, 1), the same each time for an instance and endpoint.
+        instances: Number of instances.
+        draw: A number from [0, 1), constant for an instance and endpoint.
 
     Returns:
-        None if the endpoint is left to other instances.
+        The share, None if the endpoint is left to other instances.
     """
     users = min(MAX_USERS_WITHOUT_HOLDER, float(instances))
     if draw >= users / instances:
--- a/src/wayslip/decisions/placement.py
+++ b/src/wayslip/decisions/placement.py
@@ -1,8 +1,9 @@
-"""Where versions and adapters are to sit, with as few moves as possible.
+"""Places versions and adapters on engines with as few moves as possible.
 
-What already sits well stays. Missing replicas go to the live engine of the
-pool with the most room. An adapter sits wherever a replica of its version
-does, up to the number its model wants. All sizes are bytes.
+Items that are placed validly stay. Missing replicas go to a live engine of the
+pool: the one that needs the fewest additional bytes, then the one with the
+most room left. An adapter is placed on engines that hold a replica of its
+version, up to the number of replicas of its model. All sizes are bytes.
 """
 
 from collections.abc import Iterable
@@ -19,8 +20,8 @@
 
     Attributes:
         capacity: Bytes for weights and adapters.
-        held: What its ledger charges, with sizes.
-        is_live: Whether it may get new items.
+        held: Items charged in its ledger, with sizes.
+        is_live: Whether it may receive new items.
     """
 
     name: str
@@ -31,14 +32,14 @@
 
 @dataclasses.dataclass
 class _Draft:
-    """A placement while it is being made."""
+    """A placement under construction."""
 
     catalog: catalogs.Catalog
     engines: Mapping[str, EngineState]
     placed: dict[str, list[str]]
 
     def room(self, engine: str) -> int:
-        """Bytes left on an engine when only its placed items are there."""
+        """Bytes left on an engine that holds only its placed items."""
         used = sum(self.catalog.sizes[i] for i in self.placed[engine])
         return self.engines[engine].capacity - used
 
@@ -64,12 +65,12 @@
     engines: Mapping[str, EngineState],
     replicas: Mapping[str, int],
 ) -> Placements | refusals.Refusal:
-    """Returns the items of every engine, or why they do not fit.
+    """Returns the items of every engine, or a refusal if they do not fit.
 
     Args:
-        catalog: The names to be served and what each needs.
-        engines: All engines of the catalog's pools that are known.
-        replicas: Replicas wanted of each model; 1 where it says nothing.
+        catalog: The names to serve and the items that each needs.
+        engines: All known engines of the catalog's pools.
+        replicas: Desired replicas of each model; 1 if not given.
     """
     kept = {
         name: [
@@ -85,7 +86,7 @@
     }
     draft = _Draft(catalog, engines, kept)
     _remove_surplus(draft, replicas)
-    # Large groups first: small ones fill the gaps.
+    # Place large groups first; small ones fit into the remaining gaps.
     groups = sorted(
         catalog.targets.values(), key=lambda t: (-_size(catalog, t), t.name)
     )
@@ -111,7 +112,7 @@
                 draft.put(item, engine)
             continue
         if _find_complete(draft, target.items):
-            # A further replica is wished for, the first is a promise.
+            # The first replica is required; further ones are best effort.
             return None
         return refusals.Refusal(
             refusals.Reason.NO_MEMORY,
@@ -145,7 +146,7 @@
 
 
 def _remove_surplus(draft: _Draft, replicas: Mapping[str, int]) -> None:
-    """Takes out replicas beyond the wanted number, fullest engines first."""
+    """Removes surplus replicas, from the fullest engines first."""
     model_of = {
         item: target.model
         for target in draft.catalog.targets.values()
