--- a/src/wayslip/decisions/plan.py
+++ b/src/wayslip/decisions/plan.py
@@ -1,10 +1,10 @@
-"""Plans: what an intent would change, step by step, and what it costs.
+"""Plans: the steps that a configuration change takes, and their cost.
 
-A plan carries a digest of the world it was drawn against, piece by piece, so
-that a confirmation can say exactly what has changed since. Its steps are in
-an order that fits at every step: on each engine the loads run in that order,
-and an item is evicted only once its replacement is ready. Engines do not wait
-for each other otherwise, so any interleaving of their steps fits as well.
+A plan carries a digest of each entry and engine that it was built against, so
+that a confirmation can state exactly what has changed since. The steps are
+ordered so that memory suffices at every step: each engine runs its loads in
+this order, and an item is evicted only once its replacement is ready. Engines
+do not wait for each other otherwise, so any interleaving of their steps fits.
 """
 
 from collections.abc import Mapping
@@ -20,7 +20,7 @@
 
 
 class PlanState(enum.StrEnum):
-    """How far a plan has come."""
+    """The state of a plan."""
 
     PROPOSED = "proposed"
     CONFIRMED = "confirmed"
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class StateDigest:
-    """A piece of the world as a plan saw it."""
+    """Digest of an entry or engine that a plan was built against."""
 
     subject: str
     digest: str
@@ -48,13 +48,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Cost:
-    """What carrying out a plan takes.
+    """The cost of executing a plan.
 
     Attributes:
         moved: Bytes loaded from the weight store.
         seconds: Load time at the weight store's rate.
-        store_share: Part of the weight store's slots used at the height.
-        moves: Loads and evictions.
+        store_share: Peak share of the weight store's slots in use.
+        moves: Number of loads and evictions.
     """
 
     moved: int
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Plan:
-    """An intent with its steps, cost and the world it was drawn against."""
+    """A change with its steps, its cost and the state it was built against."""
 
     id: str
     author: str
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class World:
-    """What a plan is drawn against."""
+    """The state that a plan is built against."""
 
     config: configuration.Configuration
     engines: Mapping[str, placement.EngineState]
@@ -90,7 +90,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class WeightStore:
-    """The weight store's limits: loads a second, and at once."""
+    """Limits of the weight store.
+
+    Attributes:
+        rate: Loads per second.
+        slots: Concurrent loads.
+    """
 
     rate: float
     slots: int
@@ -98,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Draft:
-    """Who asks for a plan, when, and under which id."""
+    """The id, author and time of a requested plan."""
 
     id: str
     author: str
@@ -112,14 +117,14 @@
     draft: Draft,
     replicas: Mapping[str, int] | None = None,
 ) -> Plan | refusals.Refusal:
-    """Returns the plan of a change, or why there is none.
+    """Returns the plan of a change, or a refusal.
 
     Args:
-        world: The configuration and engines now.
-        change: What the operator, or automatic placement, wants.
+        world: The current configuration and engines.
+        change: The change that the operator or automatic placement requests.
         store: Limits of the weight store, for the cost.
         draft: The plan's id, author and time.
-        replicas: Replicas wanted of each model, in place of the models' own.
+        replicas: Desired replicas of models, which override the models' own.
     """
     change = _add_fallbacks(world.config, change)
     change = _drop_unchanged(world.config, change)
@@ -153,7 +158,7 @@
 
 
 def estimate_cost(steps: tuple[Step, ...], store: WeightStore) -> Cost:
-    """Returns what steps cost at the weight store."""
+    """Returns the cost of steps at the weight store's limits."""
     loads = [s for s in steps if s.action is ledger.Action.LOAD]
     engines = len({s.engine for s in loads})
     return Cost(
@@ -184,7 +189,7 @@
 
 
 def find_changes(plan: Plan, world: World) -> tuple[str, ...]:
-    """Returns the pieces of the world that changed since a plan was drawn."""
+    """Returns the entries and engines that changed since a plan was built."""
     now = {w.subject: w.digest for w in digest_world(world, plan.change)}
     return tuple(
         w.subject for w in plan.world if now.get(w.subject) != w.digest
@@ -198,7 +203,7 @@
 def _add_fallbacks(
     config: configuration.Configuration, change: configuration.Change
 ) -> configuration.Change:
-    """Keeps the old version answering until a new one is resident."""
+    """Sets fallbacks: old versions serve until the new ones are resident."""
     put: list[configuration.Value] = []
     for value in change.put:
         if isinstance(value, configuration.Model):
@@ -215,7 +220,7 @@
 def _drop_unchanged(
     config: configuration.Configuration, change: configuration.Change
 ) -> configuration.Change:
-    """Leaves out what is in force already."""
+    """Removes values that are already in force."""
     put = []
     for value in change.put:
         name = configuration.get_name(value)
@@ -228,7 +233,7 @@
 def _find_missing(
     config: configuration.Configuration, change: configuration.Change
 ) -> str | None:
-    """Returns what a change deletes that is not there."""
+    """Returns an error text if a change deletes an entry that is missing."""
     for kind, name in change.delete:
         entry = config.get(kind, name)
         if entry is None or entry.value is None:
@@ -255,7 +260,7 @@
 
 
 class _Simulation:
-    """Goes through the steps in memory to find an order that fits."""
+    """Simulates the steps to find an order in which memory suffices."""
 
     def __init__(
         self,
@@ -282,7 +287,7 @@
         self.steps: list[Step] = []
 
     def run(self) -> bool:
-        """Does all steps that can be done; returns whether none is left."""
+        """Runs all possible steps; returns whether none is left."""
         while self._unload_one() or self._load_one():
             pass
         return not self.loads and not self.unloads
@@ -304,7 +309,8 @@
         return False
 
     def _load_one(self) -> bool:
-        # First what is nowhere, then what lets another engine evict.
+        # First items without any replica, then those that allow another engine
+        # to evict its replica.
         waiting = {item for _, item in self.unloads}
         order = sorted(
             self.loads,
@@ -339,8 +345,9 @@
     engine, item = (simulation.loads + simulation.unloads)[0]
     return refusals.Refusal(
         refusals.Reason.NO_MEMORY,
-        f"no order of steps fits: {item} on {engine} can not move while its"
-        " replacement needs room; free some room on another engine first",
+        f"no order of steps fits in memory: {item} on {engine} can not be"
+        " moved while its replacement needs room; free memory on another"
+        " engine first",
     )
 
 
@@ -349,7 +356,7 @@
     change: configuration.Change,
     steps: tuple[Step, ...],
 ) -> tuple[str, ...]:
-    """Returns what callers would notice, a sentence each."""
+    """Returns the effects that callers would notice, one sentence each."""
     effects = []
     for value in change.put:
         if isinstance(value, configuration.Placement):
--- a/src/wayslip/decisions/position.py
+++ b/src/wayslip/decisions/position.py
@@ -1,14 +1,15 @@
-"""Positions in the store's history, which may go back to a copy.
+"""Positions in the store's history, which a restore may set back.
 
-The store counts its changes, and a change has the count as its revision. When
-it comes back from a copy it has lost the last changes and gives their revisions
-out again; it tells so by an era that rises. A position is era and revision in
-one whole number, so that of two positions the later one is the higher, whatever
-was lost between them. Where no era is told a position is the revision.
+The store numbers its changes with revisions. After it was restored from a copy
+it has lost its last changes and reuses their revisions, which it announces by
+a higher era. A position combines era and revision in one integer, so that the
+later of two positions is always the higher one, whatever was lost between
+them. If the store announces no era, a position equals the revision.
 """
 
-# Revisions of one era. Positions of the first 8,000 eras are still exact where
-# somebody reads whole numbers as floating point, as tokens of orders may be.
+# Number of revisions reserved for each era. Positions of the first 8,000 eras
+# are exact as double-precision floating point, as which an engine may read
+# the tokens of orders.
 _REVISIONS = 1 << 40
 
 
@@ -23,5 +24,5 @@
 
 
 def find_revision(position: int) -> int:
-    """Returns the revision of a position, in its era."""
+    """Returns the revision of a position within its era."""
     return position % _REVISIONS
--- a/src/wayslip/decisions/quota.py
+++ b/src/wayslip/decisions/quota.py
@@ -1,63 +1,64 @@
-"""Quotas over all instances, without a counter on the way of a request.
-
-The instances report what is asked of them and what they sent on, as sums that
-only rise, so that a lost report is made up for by the next. The lease's holder
-keeps one level for each organisation and tells it with the demand. While the
-level is high an instance admits whatever comes, up to the level until it hears
-again. Once it is low each instance has a part of the rate in proportion to the
-demand that it sees, and the level is steered back to zero.
-
-The level can fall below zero by what is sent on before the instances hear that
-it is low. With a demand of `d` times the rate and word that is `w` seconds late
-that is at most (d - 1) w seconds of the rate, less the `LOW_SHARE` part of the
-burst that was left. Of an allowance of a tenth over 8 s and a burst of 1 s,
-0.9 s of the rate, that leaves room for a demand of 4.2 times the rate at
-0.35 s.
+"""Quotas over all instances, without a shared counter on the request path.
+
+Each instance reports the units requested and the units sent on as sums that
+never decrease, so that the next report makes up for a lost one. The lease
+holder keeps one level of available units for each organisation and announces
+it together with the demand. While the level is high, an instance admits every
+request, up to the level, until the next announcement. Once the level is low,
+each instance gets a share of the rate in proportion to its local demand, and
+the level is steered back to zero.
+
+The level can fall below zero by the units that are sent on before the
+instances learn that it is low. With a demand of `d` times the rate and an
+announcement delay of `w` seconds that is at most (d - 1) w seconds of the
+rate, less the `LOW_SHARE` of the burst that was left. With an allowance of a
+tenth over 8 s and a burst of 1 s, 0.9 s of the rate, that tolerates a demand
+of 4.2 times the rate at a delay of 0.35 s.
 """
 
 import dataclasses
 
-# Part of the burst below which instances keep to their parts of the rate.
+# Share of the burst below which instances keep to their shares of the rate.
 LOW_SHARE = 0.25
-# What is asked for in this time may have been sent on before all have heard of
-# it, seconds: a report and a state.
+# Delay until all instances know of a request: one report interval plus one
+# state interval. Units requested in this time may have been sent on unnoticed.
 _REPORT_DELAY_SECONDS = 0.5
-# Part of what is allowed beyond a quota that is given to the burst; the rest is
-# for late word. Without it 6 in 100 of the units of an organisation with 4,200
-# a second, asked for 0.55 of that in requests of 2,400, are refused beneath its
-# quota, 17 at the worst of six days; with it none (simulated fleet of 90).
+# Share of the allowance that is added to the burst; the rest covers delayed
+# announcements. Without it, requests that are large compared with the rate are
+# refused below the quota: in a simulated fleet of 90 instances 6 % of the units
+# at 0.55 of a quota of 4,200 a second in requests of 2,400, and none with it.
 _ALLOWED_SHARE = 0.4
-# An instance that has not heard a level yet takes the rate as spread over this
-# many instances, and has saved up nothing but a part of a second. Where all
-# instances were killed amid a demand of 4.8 times the usual, eight parts, and
-# as much of the burst, exceed what is allowed by 0.4 to 1.1 s of the rate.
+# An instance that has not received a level yet assumes that the rate is shared
+# by this many instances, and starts with credit for a fraction of a second.
+# With eight shares, and as much of the burst, a restart of all instances at
+# 4.8 times the usual demand exceeds the allowance by 0.4 to 1.1 s of the rate.
 _INITIAL_INSTANCES = 20.0
 _INITIAL_CREDIT_SECONDS = 0.5
-# A difference from level zero is made up for in this time, seconds: three
-# times what a report and a state take, so that it does not swing.
+# Time in which a deviation of the level from zero is corrected: three times the
+# delay of a report and a state, so that the level does not oscillate.
 _CORRECTION_SECONDS = 1.0
-# Demand fades in this time, seconds: long enough that clients who ask once or
-# twice a second make an even demand.
+# Decay time of the measured demand: long enough that clients with one or two
+# requests a second give a steady value.
 DEMAND_DECAY_SECONDS = 1.0
-# Once it is low, an instance saves up what it earns in so long, seconds. What
-# more comes to instances that are seldom asked raises the level for all.
+# While the level is low, an instance accumulates credit for at most this time.
+# Rate that instances with little demand leave unused raises the common level.
 _MAX_CREDIT_SECONDS = 1.0
-# Word that is older than this may be wrong about what is left, seconds: four
-# states of the holder. An instance that hears nobody goes on with its part of
-# the rate.
+# Age after which an announced level no longer counts as available units: four
+# state intervals of the holder. Without newer announcements an instance
+# continues with its share of the rate.
 _STALE_SECONDS = 1.0
-# Rates below this are none, units a second.
+# Lower bound of the rate in the computation of a wait, units a second.
 _MIN_RATE = 1e-6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Allowance:
-    """What operators allow beyond a quota, over any window.
+    """The excess over a quota that operators tolerate in any window.
 
     Attributes:
-        window: Seconds.
-        over: Share of the rate and the burst in a window.
-        slack: Units on top.
+        window: Length of the window, seconds.
+        over: Tolerated excess, as a share of the rate and burst in a window.
+        slack: Tolerated units in addition.
     """
 
     window: float = 0.0
@@ -65,19 +66,19 @@
     slack: float = 0.0
 
     def extend_burst(self, rate: float, burst: float) -> float:
-        """Returns the burst that instances keep to together."""
+        """Returns the burst that all instances together may use."""
         allowed = self.over * (rate * self.window + burst) + self.slack
         return burst + allowed * _ALLOWED_SHARE
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QuotaLevel:
-    """What the holder tells of one organisation.
+    """The lease holder's announcement for one organisation.
 
     Attributes:
-        level: Units that may be sent on beside the rate; below zero they were
+        level: Units available in addition to the rate; negative if more was
             sent on already.
-        demand: Units asked for a second, at all instances.
+        demand: Units requested per second, at all instances.
     """
 
     level: float
@@ -85,29 +86,29 @@
 
 
 def find_low_level(burst: float, demand: float) -> float:
-    """Returns the level beneath which instances keep to their parts.
+    """Returns the level below which instances keep to their shares.
 
     Args:
-        burst: Of the quota, stretched.
-        demand: Units asked for a second.
+        burst: Burst of the quota, with the allowance.
+        demand: Units requested per second.
     """
     return max(burst * LOW_SHARE, demand * _REPORT_DELAY_SECONDS)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Level:
-    """The holder's account of one organisation.
+    """The lease holder's count of one organisation's available units.
 
     Attributes:
-        units: As of `at`.
-        at: Steady seconds.
+        units: Available units at the time `at`.
+        at: Seconds of the monotonic clock.
     """
 
     units: float
     at: float
 
     def settle(self, rate: float, burst: float, now: float) -> "Level":
-        """Returns the level now; a burst that was lowered counts at once."""
+        """Returns the current level; a lowered burst applies at once."""
         earned = rate * max(now - self.at, 0.0)
         return Level(min(self.units + earned, burst), now)
 
@@ -118,15 +119,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """An instance's part of one organisation's quota.
+    """An instance's share of one organisation's quota.
 
     Attributes:
-        rate, burst: Of the quota.
-        announced: What the holder last told, None before that.
-        announced_at: When it told that, steady seconds.
+        rate: Units per second of the quota.
+        burst: Burst of the quota.
+        announced: The last announcement of the lease holder, None before any.
+        announced_at: When it was received, seconds of the monotonic clock.
         credit: Units that may be sent on now.
-        at: When that was worked out, steady seconds.
-        local_demand: Units asked for a second, here.
+        at: When `credit` was computed, seconds of the monotonic clock.
+        local_demand: Units requested per second at this instance.
     """
 
     rate: float
@@ -139,13 +141,13 @@
 
     @classmethod
     def begin(cls, rate: float, burst: float, now: float) -> "Share":
-        """Returns the share of an instance that has heard nothing."""
+        """Returns the share of an instance without any announcement."""
         credit = rate * _INITIAL_CREDIT_SECONDS / _INITIAL_INSTANCES
         return cls(rate, burst, credit=credit, at=now)
 
     @property
     def is_unrestricted(self) -> bool:
-        """Whether the level is so high that parts of the rate do not count."""
+        """Whether the level is high enough to ignore the shares of the rate."""
         if self.announced is None:
             return False
         return self.announced.level > find_low_level(
@@ -167,14 +169,14 @@
 
     @property
     def demand_share(self) -> float:
-        """This instance's part of what is asked of all."""
+        """This instance's share of the total demand."""
         demand = max(
             self.announced.demand if self.announced else 0.0, self.local_demand
         )
         return self.local_demand / demand if demand else 0.0
 
     def receive(self, announced: QuotaLevel, now: float) -> "Share":
-        """Returns the share after the holder told a level."""
+        """Returns the share after the lease holder announced a level."""
         before = self.settle(now)
         found = dataclasses.replace(
             before, announced=announced, announced_at=now
@@ -182,8 +184,8 @@
         if found.is_unrestricted:
             return dataclasses.replace(found, credit=announced.level)
         if before.is_unrestricted:
-            # What was free is not once the level is low; what is left of that
-            # is for all in proportion.
+            # The level fell below the threshold: the units left are divided
+            # among the instances in proportion to their demand.
             max_credit = max(announced.level, 0.0) * found.demand_share
             return dataclasses.replace(
                 found, credit=min(found.credit, max_credit)
@@ -191,28 +193,28 @@
         return found
 
     def settle(self, now: float) -> "Share":
-        """Returns the share now."""
+        """Returns the share with its current credit."""
         elapsed = max(now - self.at, 0.0)
         max_credit = max(self.credit, self.refill * _MAX_CREDIT_SECONDS)
         credit = min(self.credit + self.refill * elapsed, max_credit)
         return dataclasses.replace(self, credit=credit, at=now)
 
     def admits(self, units: float) -> bool:
-        """Whether a request may be sent on, of a share that is settled.
+        """Whether a request may be sent on; the share must be settled.
 
-        One that is larger than what can be saved up needs all of that: parts
-        of a small quota are less than a request. At the limit the smaller
-        requests find their units there more often, as in one bucket for all.
+        A request that is larger than the maximum credit needs all of it, as a
+        share of a small quota may be less than one request. At the limit,
+        smaller requests are admitted more often, as with a single bucket.
         """
         needed = min(units, self.refill * _MAX_CREDIT_SECONDS)
         return self.credit > 0 and self.credit >= needed
 
     def spend(self, units: float) -> "Share":
-        """Returns the share after units were sent on, or given back."""
+        """Returns the share after units were sent on, or returned."""
         return dataclasses.replace(self, credit=self.credit - units)
 
     def find_wait(self, units: float) -> float:
-        """Returns the seconds until a request of some units can be admitted."""
+        """Returns the seconds until a request can be admitted."""
         needed = min(units, self.refill * _MAX_CREDIT_SECONDS)
         missing = max(needed - self.credit, 0.0)
         return missing / max(self.refill, _MIN_RATE)
--- a/src/wayslip/decisions/rate.py
+++ b/src/wayslip/decisions/rate.py
@@ -5,11 +5,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bucket:
-    """Permits that come at a rate, up to a burst.
+    """A token bucket.
 
     Attributes:
-        rate: Permits a second.
-        burst: Most permits that are saved up.
+        rate: Permits added per second.
+        burst: Maximum number of permits.
+        permits: Permits available at the time `at`.
+        at: When `permits` was computed, seconds.
     """
 
     rate: float
@@ -18,7 +20,7 @@
     at: float
 
     def take(self, now: float) -> "Bucket | None":
-        """Returns the bucket with one permit less, None if there is none."""
+        """Returns the bucket after taking a permit, None if there is none."""
         filled = min(self.burst, self.permits + self.rate * (now - self.at))
         if filled < 1:
             return None
--- a/src/wayslip/decisions/reading.py
+++ b/src/wayslip/decisions/reading.py
@@ -1,41 +1,43 @@
-"""How fast engines read prompts, learned for each model from first tokens.
+"""Estimates the prefill rate of each model from times to first token.
 
-Larger models read slower and nobody tells how much. Only requests that found
-no other prompt unread at their engine are samples, so the time until the
-first token is the time to read the prompt.
+Prefill is the reading of a prompt; larger models do it more slowly, and their
+rates are not announced. Only requests that found no other unread prompt at
+their engine are samples, so that the time to the first token is about the time
+to read the prompt.
 
-Load pattern: an engine is seldom free, and what others have sent there is
-known late. Half of the samples waited behind a prompt that nobody had told of
-yet, or read between the steps of many running requests. So a slow sample says
-little, and a fast one much: the rate is kept where about one in six is faster.
+Load pattern: an engine is seldom idle, and requests of other instances are
+known late. Half of the samples waited behind a prompt that was not reported
+yet, or were read between the decoding steps of many running requests. A slow
+sample therefore says little and a fast one much: the estimate is kept at a
+value that about one sample in six exceeds.
 
-An instance of a large fleet seldom sees a sample of its own: of 195 instances
-each sends one request of a busy model in a minute. So samples are told to the
-lease's holder, and what it learns from all of them is told to everybody.
+An instance of a large fleet gets few samples of its own: of 195 instances,
+each sends about one request a minute for a busy model. Samples are therefore
+reported to the lease holder, which announces the rates estimated from all.
 """
 
 import collections
 
-# Tokens a second assumed for a model without samples: the operators' sheet of
-# both sites says 19.1 a millisecond for the fastest.
+# Rate assumed for a model without samples, tokens a second. The operators
+# specify 19,100 for the fastest model.
 _DEFAULT_RATE = 14_000.0
-# Weights of a new sample that is faster than what is known, and of a slower
-# one. Of samples on busy engines the known rates of two kinds of model, 54,600
-# and 19,100 tokens a second, were faster than 83 and 82 in 100; with these
-# weights the estimate settles there.
+# Weights of a sample above the estimate, and of one below it. On busy engines
+# the true rates of two models, 54,600 and 19,100 tokens a second, exceed 83 %
+# and 82 % of the samples; with these weights the estimate converges there.
 _FASTER_WEIGHT = 0.2
 _SLOWER_WEIGHT = 0.02
-# Prompts shorter than this say little: their time is mostly the way.
+# Minimum prompt length of a sample; shorter ones mostly measure the latency of
+# the network.
 _MIN_TOKENS = 300
-# The way and the first step take about this long, seconds.
+# Approximate time of the network and the first decoding step.
 _OVERHEAD_SECONDS = 0.012
 _MIN_SECONDS = 0.005
-# Samples kept until they are told: more than come between two reports.
+# Samples kept until they are reported; more than arrive between two reports.
 _MAX_SAMPLES = 20
 
 
 class ReadingRates:
-    """Tokens a second by model."""
+    """Estimated prefill rates by model, tokens a second."""
 
     def __init__(self) -> None:
         self._rates: dict[str, float] = {}
@@ -44,12 +46,12 @@
         )
 
     def learn(self, model: str, tokens: int, seconds: float) -> None:
-        """Takes in a sample.
+        """Records a sample of this instance.
 
         Args:
-            model: Which model read the prompt.
+            model: The model that read the prompt.
             tokens: Tokens that were not in its cache.
-            seconds: From the send to the first token.
+            seconds: Time from the send to the first token.
         """
         if tokens < _MIN_TOKENS:
             return
@@ -58,23 +60,23 @@
         self.note(model, sample)
 
     def note(self, model: str, sample: float) -> None:
-        """Takes in a sample of anybody's, tokens a second."""
+        """Updates the estimate by a sample of any instance, tokens a second."""
         known = self._rates.get(model, sample)
         weight = _FASTER_WEIGHT if sample > known else _SLOWER_WEIGHT
         self._rates[model] = known + (sample - known) * weight
 
     def take_unreported(self) -> list[tuple[str, float]]:
-        """Returns own samples that were not told yet, by model."""
+        """Removes and returns this instance's unreported samples, by model."""
         samples = list(self._unreported)
         self._unreported.clear()
         return samples
 
     def set_rate(self, model: str, rate: float) -> None:
-        """Takes over what was learned from all samples, tokens a second."""
+        """Sets the rate estimated from all samples, tokens a second."""
         self._rates[model] = rate
 
     def all(self) -> dict[str, float]:
-        """Returns what is known, tokens a second by model."""
+        """Returns the estimated rates by model, tokens a second."""
         return dict(self._rates)
 
     def estimate(self, model: str, tokens: int) -> float:
--- a/src/wayslip/decisions/reconcile.py
+++ b/src/wayslip/decisions/reconcile.py
@@ -1,8 +1,8 @@
-"""The next step that brings an engine to what it is meant to hold.
+"""Chooses the next step that brings an engine to its desired state.
 
-Level-triggered: it compares the ledger with the placement, so it needs no
-memory of its own and goes on after any crash. One step at a time; the caller
-writes the ledger, sends the order and asks again.
+Reconciliation is level-triggered: it compares the ledger with the placement,
+so it keeps no state of its own and continues after any crash. It returns one
+step at a time; the caller writes the ledger, sends the order and asks again.
 """
 
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Step:
-    """An order to write down and send; item is empty for a fence."""
+    """An order to record and send; the item is empty for a fence."""
 
     action: ledger_module.Action
     item: str = ""
@@ -23,14 +23,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Wanted:
-    """What an engine is meant to hold.
+    """The desired state of an engine.
 
     Attributes:
-        items: In loading order, versions before their adapters.
+        items: Items in loading order, versions before their adapters.
         sizes: Bytes of each item.
         base_of: The version of each adapter.
         nowhere: Items that no engine is known to hold.
-        kept: Items whose eviction was refused just now, as the last replica.
+        kept: Items whose eviction was just refused, as they are the last
+            replica.
     """
 
     items: tuple[str, ...]
@@ -43,11 +44,11 @@
 def choose_step(
     ledger: ledger_module.Ledger, wanted: Wanted, may_load: bool
 ) -> Step | None:
-    """Returns the next step, None when there is nothing to do now.
+    """Returns the next step, None if there is nothing to do now.
 
     Args:
         ledger: The engine's ledger.
-        wanted: What the engine is meant to hold.
+        wanted: The desired state of the engine.
         may_load: Whether the weight store's rate allows a load now.
     """
     unload = _choose_unload(ledger, wanted)
@@ -56,7 +57,7 @@
     load = _choose_load(ledger, wanted)
     if load is not None and may_load:
         return load
-    # Orders whose fate is unknown are settled by a newer fence.
+    # Orders with an unknown outcome are settled by a newer fence.
     if ledger.checks_fence and any(a.given_up for a in ledger.attempts):
         return Step(ledger_module.Action.FENCE)
     return None
@@ -88,8 +89,8 @@
             continue
         size = wanted.sizes[item]
         if charge is None and size > ledger.free:
-            # Loads stay in order: a later, smaller one must not take the
-            # room that the plan meant for this one.
+            # Loads keep their order: a later, smaller item must not take the
+            # memory that the plan provides for this one.
             return None
         return Step(ledger_module.Action.LOAD, item, size)
     return None
@@ -102,7 +103,7 @@
 def _is_lost(
     ledger: ledger_module.Ledger, charge: ledger_module.Charge
 ) -> bool:
-    """Whether a load was given up, so that it may be sent again."""
+    """Whether all attempts to load were given up and a new one may be sent."""
     if charge.phase is not ledger_module.Phase.RESERVED:
         return False
     mine = [a for a in ledger.attempts if a.item == charge.item]
--- a/src/wayslip/decisions/retry.py
+++ b/src/wayslip/decisions/retry.py
@@ -1,7 +1,7 @@
-"""What to do after an attempt at a request failed.
+"""Decides whether to retry after an attempt at a request failed.
 
-Retries draw on a budget that first attempts fill, so a failure never
-multiplies load; see "Decisions to measure" in the design notes.
+Retries draw on a budget that is filled by first attempts, so that failures do
+not multiply the load; see "Decisions to measure" in the design notes.
 """
 
 import dataclasses
@@ -11,7 +11,7 @@
 
 
 class Failure(enum.StrEnum):
-    """How an attempt failed, by what may have happened at the endpoint."""
+    """How an attempt failed, by its possible effect at the endpoint."""
 
     NOT_SENT = "not_sent"
     REFUSED = "refused"
@@ -19,7 +19,7 @@
 
 
 class Verdict(enum.StrEnum):
-    """What follows."""
+    """The decision after a failed attempt."""
 
     RETRY = "retry"
     NOT_RUN = "not_run"
@@ -28,10 +28,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Budget:
-    """Retries that may be made, in units of one retry.
+    """A retry budget, in units of one retry.
 
     Attributes:
         fraction: Retries earned by each first attempt.
+        tokens: Retries available now.
     """
 
     fraction: float
@@ -43,7 +44,7 @@
         return dataclasses.replace(self, tokens=tokens)
 
     def spend(self) -> "Budget | None":
-        """Returns the budget after a retry, None if none is left."""
+        """Returns the budget after a retry, None if it is exhausted."""
         if self.tokens < 1:
             return None
         return dataclasses.replace(self, tokens=self.tokens - 1)
@@ -51,12 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Progress:
-    """What is known of a request after its attempts so far.
+    """The state of a request after its attempts so far.
 
     Attributes:
-        may_repeat: Whether running it twice does no harm.
-        attempts: Attempts made.
-        may_have_run: Whether one of them is unclear.
+        may_repeat: Whether it may safely run twice.
+        attempts: Number of failed attempts.
+        may_have_run: Whether the outcome of an attempt is unclear.
     """
 
     may_repeat: bool
@@ -75,7 +76,7 @@
     def judge(
         self, max_attempts: int, seconds_left: float, has_budget: bool
     ) -> Verdict:
-        """Returns what to do next."""
+        """Returns the next action."""
         if self.may_have_run and not self.may_repeat:
             return Verdict.UNKNOWN
         can_retry = (
--- a/src/wayslip/decisions/retry_pacing.py
+++ b/src/wayslip/decisions/retry_pacing.py
@@ -1,19 +1,20 @@
-"""How often an instance tries again what every instance of a fleet tries.
+"""Paces attempts that every instance of a fleet repeats.
 
-Load pattern: the store answers nobody for some seconds, and each instance
-wants to know when it is back. Calls without success are priced like others,
-and 195 instances that try every half second make 1,100 calls a second. One
-that gets through is enough, because the lease's holder tells all. So while it
-is heard the attempts are shared out: their rate over the fleet does not grow
-with it.
+Load pattern: the store does not answer for some seconds, and each instance
+retries until it is back. Failed calls cost as much as others, and 195
+instances that retry every half second make 1,100 calls a second. One success
+is enough, because the lease holder announces it to all. While the holder is in
+contact, the attempts are therefore divided among the instances, so that their
+rate does not grow with the fleet.
 
-An instance that hears nobody tries as often as if it were alone. After a start
-of the whole fleet, or where the holder died, everything waits for the one that
-may take the lease; with shared attempts that took 1.9 s instead of 0.6.
+An instance without contact to the lease holder retries as often as a single
+instance would. After a start of the whole fleet, or a crash of the holder, all
+instances wait for the one that may take the lease; with divided attempts that
+takes 1.9 s instead of 0.6 s.
 """
 
-# Attempts a second for one purpose, over all instances: the first success is
-# then 100 ms late at most, against 250 ms between the holder's statements.
+# Rate of the attempts for one purpose, over all instances. The first success is
+# then at most 100 ms late; the holder sends an announcement every 250 ms.
 MAX_ATTEMPTS_PER_SECOND = 10.0
 
 
@@ -21,10 +22,10 @@
     """Returns the seconds to wait before an attempt is repeated.
 
     Args:
-        usual: What one instance alone would wait, seconds.
-        instances: How many the fleet has, as last told.
-        has_holder: Whether the lease's holder is heard now, be it that it can
-            not renew.
+        usual: The pause of a single instance, seconds.
+        instances: Number of instances of the fleet, as last announced.
+        has_holder: Whether there is contact to the lease holder, even if the
+            holder can not renew the lease.
     """
     if not has_holder:
         return usual
--- a/src/wayslip/decisions/routing.py
+++ b/src/wayslip/decisions/routing.py
@@ -1,13 +1,13 @@
-"""Which engine gets a request.
+"""Chooses the engine for a request.
 
-A policy takes the engines that can answer and picks one. Ours predicts the
-time to the first token of each: work queued at its last report, work sent
-since by this entry and told of by peers, and the prefill of what its prefix
-cache is not expected to hold. That a request goes where its prefix was sent
-before, unless the queue there costs more, follows the idea of approximate
-prefix-aware scheduling in "Intelligent inference scheduling with llm-d on Red
-Hat AI" (given to the project as a paper); the measurement that keeps it is in
-docs/design/routing.md.
+A policy chooses one of the engines that can answer. The predicted policy
+estimates the time to the first token at each: the work queued at its last
+report, the work sent since by this entry and reported by peers, and the
+prefill of the part of the prompt that its prefix cache is not expected to
+hold. A request goes where its prefix was sent before, unless the queue there
+costs more; this follows approximate prefix-aware scheduling as described in
+"Intelligent inference scheduling with llm-d on Red Hat AI". The measurements
+are in docs/design/routing.md.
 
 Lengths are tokens, times seconds, rates tokens a second.
 """
@@ -22,30 +22,30 @@
 from wayslip import registry
 from wayslip.decisions import ownership
 
-# Candidates above this number are sampled, so that a decision over a large
-# fleet costs what one over a small fleet does.
+# Maximum number of candidates compared; larger sets are sampled, so that the
+# cost of a decision does not grow with the fleet.
 SAMPLE_SIZE = 24
 BLOCK_CHARS = 256
 MAX_BLOCKS = 64
-# Part of a prefix that its home engine is trusted to hold unseen.
+# Share of a prefix that its home engine is assumed to hold without evidence.
 HOME_CREDIT = 0.5
 CHARS_PER_TOKEN = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """An engine that can answer, as one entry sees it.
+    """An engine that can answer, from the view of one entry.
 
     Attributes:
         running: Requests in its batch at its last report.
-        slots: Requests its batch can hold.
-        backlog: Prefill thought to be ahead of the request now, tokens; see
+        slots: Maximum number of requests in its batch.
+        backlog: Estimated prefill ahead of the request, tokens; see
             `estimate_backlog`.
-        sent: Requests sent since that are not in the report.
+        sent: Requests sent since its last report.
         prefill_rate: Prefill tokens a second.
         step: Seconds a decoding step takes.
-        cached_tokens: Length of the request's prefix expected in its cache.
-        in_flight: This entry's requests there.
+        cached_tokens: Expected length of the request's prefix in its cache.
+        in_flight: Pending requests of this entry.
         is_near: Whether it is in the entry's data hall.
     """
 
@@ -66,8 +66,8 @@
     """A chosen engine.
 
     Attributes:
-        predicted: Seconds to the first token.
-        occupancy: Part of its batch that is taken, above 1 with a queue.
+        predicted: Predicted seconds to the first token.
+        occupancy: Share of its batch slots in use, above 1 with a queue.
     """
 
     name: str
@@ -83,7 +83,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sent:
-    """Prefill sent to an engine; rank is the class, lower goes first."""
+    """Prefill sent to an engine.
+
+    Attributes:
+        at: When it was sent.
+        tokens: Length of the prefill.
+        rank: Rank of the request's class; lower ranks are served first.
+    """
 
     at: float
     tokens: int
@@ -98,22 +104,23 @@
     rate: float,
     now: float,
 ) -> float:
-    """Returns the prefill ahead of a request of some rank now, tokens.
+    """Returns the estimated prefill ahead of a request, tokens.
 
-    Reports lag by many times what a prefill takes, so adding up all that was
-    sent since the last one overrates an engine's work. The queue is replayed
-    instead: each send adds to it, and it drains at the engine's rate.
+    Reports are older than the duration of many prefills, so the sum of all
+    prefill sent since the last report would overestimate the queue. The queue
+    is simulated instead: each send adds to it, and it drains at the engine's
+    rate.
 
     Args:
-        waiting: Prefill waiting at the last report; of all ranks.
-        reported: When that was.
-        sent: What was sent since, oldest first.
-        rank: Class of the request; engines do lower ranks first.
+        waiting: Prefill waiting at the last report, of all ranks.
+        reported: When the report was made.
+        sent: Prefill sent since, oldest first.
+        rank: Rank of the request; engines serve lower ranks first.
         rate: Prefill tokens a second.
-        now: The time.
+        now: The current time.
     """
-    # What waits in a report is of the lowest ranks, if the engine honours
-    # priorities, so the first rank does not stand behind it.
+    # If the engine honours priorities, the prefill that waits at a report is of
+    # the least urgent ranks, so a request of rank 0 does not wait for it.
     backlog = float(waiting) if rank > 0 else 0.0
     at = reported
     for send in sent:
@@ -127,11 +134,16 @@
 def estimate_unseen(
     sent: Sequence[Sent], reported_until: float, peers: int
 ) -> list[Sent]:
-    """Returns what peers are taken to have sent since they last told.
+    """Returns the prefill that peers are assumed to have sent but not reported.
 
-    Entries get about the same share of callers, so in the time that no word
-    of peers covers, each is taken to have sent what this one did. Without
-    this, all entries see the same room at once and fill it several times.
+    Entries get about equal shares of the callers, so for the time that the
+    peers' reports do not cover, each peer is assumed to have sent as much as
+    this entry. Otherwise all entries would use the same free capacity at once.
+
+    Args:
+        sent: Prefill that this entry sent.
+        reported_until: Time up to which the peers' reports are known.
+        peers: Number of peers.
     """
     return [
         dataclasses.replace(s, tokens=s.tokens * peers)
@@ -141,12 +153,12 @@
 
 
 class Policy(Protocol):
-    """Picks one of at least one candidates."""
+    """Chooses one of at least one candidate."""
 
     def __call__(
         self, candidates: Sequence[Candidate], tokens: int, rng: random.Random
     ) -> Choice:
-        """Returns the choice for a prompt of some length."""
+        """Returns the choice for a prompt with a number of tokens."""
 
 
 POLICIES: registry.Registry[Policy] = registry.Registry("routing policy")
@@ -161,8 +173,8 @@
     delay = ahead / candidate.prefill_rate + candidate.step
     over = candidate.running + candidate.sent - candidate.slots
     if over >= 0:
-        # The batch is full: a slot frees up about every step * 100 / slots
-        # when answers are some hundred tokens long.
+        # The batch is full: with answers of about a hundred tokens, a slot
+        # becomes free about every step * 100 / slots.
         delay += (over + 1) * candidate.step * 100 / candidate.slots
     if not candidate.is_near:
         delay += _REMOTE_PENALTY_SECONDS
@@ -172,7 +184,7 @@
 def sample_candidates(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Sequence[Candidate]:
-    """Returns a bounded sample that keeps those with a cached prefix."""
+    """Returns all candidates, or a random sample of `SAMPLE_SIZE`."""
     if len(candidates) <= SAMPLE_SIZE:
         return candidates
     return [
@@ -184,12 +196,12 @@
 def choose_predicted(
     candidates: Sequence[Candidate], tokens: int, rng: random.Random
 ) -> Choice:
-    """Picks the smallest predicted first token; ties are broken at random."""
+    """Chooses the engine with the smallest predicted time to first token."""
     best: Candidate | None = None
     best_delay = 0.0
     for candidate in candidates:
         delay = predict_first_token(candidate, tokens)
-        # A little noise keeps entries that share a view from herding.
+        # Noise avoids that entries with the same view choose the same engine.
         delay *= 1 + 0.05 * rng.random()
         if best is None or delay < best_delay:
             best, best_delay = candidate, delay
@@ -201,7 +213,7 @@
 def choose_random(
     candidates: Sequence[Candidate], tokens: int, rng: random.Random
 ) -> Choice:
-    """Picks any."""
+    """Chooses a random engine."""
     chosen = candidates[rng.randrange(len(candidates))]
     return make_choice(chosen, predict_first_token(chosen, tokens))
 
@@ -210,7 +222,7 @@
 def choose_least(
     candidates: Sequence[Candidate], tokens: int, rng: random.Random
 ) -> Choice:
-    """Picks the engine with the fewest requests of this entry."""
+    """Chooses the engine with the fewest requests of this entry."""
     low = min(c.in_flight for c in candidates)
     lowest = [c for c in candidates if c.in_flight == low]
     return choose_random(lowest, tokens, rng)
@@ -220,7 +232,7 @@
 def choose_two(
     candidates: Sequence[Candidate], tokens: int, rng: random.Random
 ) -> Choice:
-    """Picks the less busy of two random engines."""
+    """Chooses the less busy of two random engines."""
     pair = [candidates[rng.randrange(len(candidates))] for _ in range(2)]
     chosen = min(pair, key=lambda c: c.running + c.sent)
     return make_choice(chosen, predict_first_token(chosen, tokens))
@@ -230,22 +242,23 @@
 def choose_affinity(
     candidates: Sequence[Candidate], tokens: int, rng: random.Random
 ) -> Choice:
-    """Picks the longest cached prefix whatever the queue; ties at random."""
+    """Chooses the longest cached prefix, whatever the queue; ties at random."""
     high = max(c.cached_tokens for c in candidates)
     longest = [c for c in candidates if c.cached_tokens == high]
     return choose_random(longest, tokens, rng)
 
 
 def find_home(blocks: Sequence[int], names: Sequence[str]) -> str | None:
-    """Returns the engine where entries agree to look for a prefix first.
+    """Returns the engine that all entries prefer for a prefix.
 
-    An entry knows only its own sends, and a conversation's next turn may come
-    in through another. So all of them hash the same block of a prompt, the
-    last one at a power of two, which turns of one conversation share.
+    An entry knows only its own sends, and the next turn of a conversation may
+    arrive at another entry. All entries therefore hash the same block of a
+    prompt, the last one whose number is a power of two, which most turns of a
+    conversation have in common.
 
     Args:
         blocks: Chained hashes of the prompt.
-        names: The engines that could answer.
+        names: The engines that can answer.
     """
     if not blocks:
         return None
@@ -254,17 +267,22 @@
 
 
 def expect_cached(cached: int, blocks: Sequence[int]) -> int:
-    """Returns the tokens that a prompt's home may hold, at least `cached`."""
+    """Returns the tokens assumed cached at a prompt's home engine.
+
+    Args:
+        cached: Tokens known to be cached there, the minimum returned.
+        blocks: Chained hashes of the prompt.
+    """
     depth = 1 << (len(blocks).bit_length() - 1)
     credit = int(depth * BLOCK_CHARS / CHARS_PER_TOKEN * HOME_CREDIT)
     return max(cached, credit)
 
 
 def hash_blocks(scope: str, text: str) -> tuple[int, ...]:
-    """Returns the chained hashes of a prompt's whole blocks.
+    """Returns the chained hashes of a prompt's complete blocks.
 
     Args:
-        scope: What the cache depends on besides the text: the engine's model.
+        scope: Key of the cache besides the text: the engine's model.
         text: The prompt as one string.
     """
     previous = xxhash.xxh64_intdigest(scope.encode())
@@ -278,5 +296,5 @@
 
 
 def count_tokens(text: str) -> int:
-    """Returns about how many tokens a text has."""
+    """Returns the approximate number of tokens of a text."""
     return max(len(text) // CHARS_PER_TOKEN, 1)
--- a/src/wayslip/decisions/selection.py
+++ b/src/wayslip/decisions/selection.py
@@ -1,8 +1,8 @@
-"""Which endpoint gets a request.
+"""Chooses the endpoint for a request.
 
-Every candidate is given the time that the request is expected to wait there
-for its first byte; the smallest wins, unless many instances may choose it at
-once (see `spreading`). Times are seconds.
+Each candidate is scored by the expected time to the request's first byte, plus
+penalties. The lowest score wins, unless many instances may choose the same
+endpoint at once; see `load_spreading`. Times are seconds.
 """
 
 from collections.abc import Sequence
@@ -10,24 +10,24 @@
 
 from wayslip.decisions import load_spreading
 
-# What every request that runs already adds to the first token of a new one:
-# its share of the decoding steps that a prompt's pieces are read between.
+# Delay of the first token per running request: its share of the decoding steps
+# that are interleaved with the chunks of a prompt's prefill.
 RUNNING_COST = 0.0035
-# A plain request ahead in an endpoint that has all slots taken.
+# Delay per queued request at an endpoint whose slots are all in use.
 QUEUE_COST = 0.03
-# A request in another data hall takes this much longer, and its bytes are
-# priced; half a millisecond each way.
+# Penalty for another data hall: half a millisecond of latency each way, and a
+# price for the bytes transferred.
 DISTANCE_COST = 0.004
-# A new connection takes a round trip and a millisecond of the endpoint, and is
-# priced.
+# Penalty for a new connection: a round trip, a millisecond of the endpoint's
+# time, and a price.
 CONNECT_COST = 0.005
-# An endpoint that fails all of its requests looks this much slower than one
-# that fails none, so it is used only when nothing else is there.
+# Penalty for an endpoint that fails all of its requests, so that it is used
+# only if there is no other.
 FAILURE_COST = 3.0
-# An endpoint that names a limit is in need: it is left alone while others have
-# little to do.
+# Penalty for an endpoint that states a rate limit: it is constrained and is
+# avoided while others have little load.
 LIMITED_COST = 0.05
-# Beyond this share of its memory for prompts an engine starts to preempt.
+# Share of its memory for prompts above which an engine starts to preempt.
 MEMORY_SHARE = 0.9
 MEMORY_COST = 1.0
 
@@ -37,17 +37,17 @@
     """An endpoint that can answer.
 
     Attributes:
-        in_flight: Requests there, over all instances.
-        slots: Requests that it works on at once.
-        unread: Seconds that it takes to read the prompts waiting there.
-        reading: Seconds that it takes to read this request's.
-        memory: Share of its memory that is taken with this request.
-        failures: Share of requests that failed lately beyond the service's
-            own rate.
-        is_near: Whether it is in our data hall.
+        in_flight: Pending requests there, of all instances.
+        slots: Requests that it processes concurrently.
+        unread: Seconds to prefill the prompts that wait there.
+        reading: Seconds to prefill this request's prompt.
+        memory: Share of its memory in use, including this request.
+        failures: Share of requests that failed recently, in excess of the
+            service's usual rate.
+        is_near: Whether it is in the data hall of this instance.
         is_connected: Whether an open connection to it is idle.
-        is_suspended: Whether it failed just now and should rest.
-        is_limited: Whether it names a limit for all instances together.
+        is_suspended: Whether it failed recently and should not be used.
+        is_limited: Whether it states a rate limit for all instances together.
     """
 
     name: str
@@ -68,8 +68,9 @@
     """A chosen endpoint.
 
     Attributes:
-        wait: Expected seconds to the first byte, penalties left out.
-        occupancy: Share of its slots that is taken, above 1 with a queue.
+        wait: Expected seconds to the first byte, without the penalties for
+            distance, a new connection, failures and limits.
+        occupancy: Share of its slots in use, above 1 with a queue.
     """
 
     name: str
@@ -78,7 +79,7 @@
 
 
 def predict_wait(candidate: Candidate) -> float:
-    """Returns the seconds to the first byte that are expected."""
+    """Returns the expected seconds to the first byte."""
     queued = max(candidate.in_flight + 1 - candidate.slots, 0)
     reading = candidate.unread + candidate.reading
     running = min(candidate.in_flight, candidate.slots)
@@ -94,8 +95,9 @@
 
     Args:
         candidates: Endpoints that can answer.
-        draw: From [0, 1); instances with the same knowledge draw differently.
-        unseen: Work that instances send to them before all know of it.
+        draw: A random number from [0, 1), independent for each instance.
+        unseen: Work that all instances send before it is reported, seconds;
+            see `load_spreading.split_load`.
     """
     available = [c for c in candidates if not c.is_suspended] or candidates
     if not available:
--- a/src/wayslip/decisions/suspicion.py
+++ b/src/wayslip/decisions/suspicion.py
@@ -1,17 +1,18 @@
-"""Which requests end the endpoints that run them, judged by their content.
-
-When an endpoint ends, whatever was on its way there is a suspect, and most of
-it is innocent: some eighteen requests of which one did it. What is known is a
-set of marks, each one content on its way to one start of an endpoint that
-ended. A content that an endpoint answered is cleared of its marks. Marks and
-clearings are merged by union, so instances that heard the same in any order,
-twice or in parts agree.
-
-Two things speak against a content. How deep it is in suspicion, counted along
-a chain: a mark goes on from what its sender knew when it sent the request. And
-how many attempts at it broke off with an endpoint, under way together or not,
-unless endpoints were seen to answer it before: a common request is on its way
-to each endpoint that ends.
+"""Detects poison requests, which crash endpoints, by their content.
+
+When an endpoint crashes, all contents in flight there are suspects, typically
+about eighteen of which one caused the crash. The state is a set of crash
+records: each says that one content was in flight to one incarnation of an
+endpoint when it crashed. When an endpoint answers a content, the content's
+crash records are cleared. Records and clearings are merged by union, so
+instances that received the same ones agree, whatever the order or repeats.
+
+Two criteria count against a content. The first is its suspicion depth: a
+record is one deeper than the depth that its sender knew when it sent the
+request, so the depth counts consecutive retries that ended in a crash. The
+second is the number of attempts that were aborted by crashes, concurrent or
+not. The second does not apply to contents that endpoints answered before: a
+common content is in flight to every endpoint that crashes.
 """
 
 from collections.abc import Iterable
@@ -19,37 +20,38 @@
 
 from wayslip.decisions import fleet
 
-# A content is condemned when so many attempts at it broke off with endpoints,
-# when it is this deep in suspicion, or one less if it alone was on its way to
-# those that ended.
+# A content is blocked after this number of attempts aborted by crashes, or at
+# this suspicion depth; at one depth less if no other content of that depth was
+# in flight to the same crashed endpoints.
 _BLOCKING_ATTEMPTS = 3
 _BLOCKING_DEPTH = 3
 _SOLE_SUSPECT_DEPTH = 2
-# What is condemned after one end only is tried again after this, seconds, and
-# so many times as late for each further step: so long a common request can be
-# refused that is on its way to endpoints which end before any was answered.
+# A content blocked at depth 1 may be probed after this time, multiplied by the
+# factor for each further depth. This bounds how long a harmless content is
+# refused that was in flight to crashing endpoints before any answered it.
 _PROBE_SECONDS = 30.0
 _PROBE_FACTOR = 4
-# How long a mark is kept, seconds: whoever asks again and again for longer
-# waits in between, and an engine may be mended meanwhile.
+# Retention of crash records: callers that retry for longer pause in between,
+# and an engine may have been fixed by then.
 RETENTION_SECONDS = 600.0
-# Contents that are remembered, those under least suspicion go first. Each takes
-# some 300 bytes.
+# Maximum number of contents kept; those of the lowest depth are evicted first.
+# Each takes about 300 bytes.
 _MAX_CONTENTS = 4000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """A content that was on its way to an endpoint that ended.
+    """Records that a content was in flight to an endpoint when it crashed.
 
     Attributes:
-        content: Its digest; see `contents`.
-        endpoint, born: The start that ended; see `fleet.Start`.
-        depth: How deep the content was in suspicion, as far as its sender
-            knew when it sent it.
-        reporter: The instance that sent it.
-        attempts: Of that instance that broke off with this end; 0 where it
-            has seen the content answered.
+        content: Digest of the content; see `contents`.
+        endpoint: Name of the endpoint that crashed.
+        born: Start time of its crashed incarnation; see `fleet.Start`.
+        depth: Suspicion depth of the content that its sender knew when it
+            sent the request.
+        reporter: The instance that sent the request.
+        attempts: Attempts of that instance that this crash aborted; 0 if the
+            instance saw the content answered before.
     """
 
     content: bytes
@@ -61,17 +63,17 @@
 
     @property
     def start(self) -> fleet.Start:
-        """What ended."""
+        """The incarnation that crashed."""
         return fleet.Start(self.endpoint, self.born)
 
 
 @dataclasses.dataclass
 class _Suspect:
-    """What is known of one content.
+    """The state of one content.
 
     Attributes:
-        since: When its first mark came.
-        crash_records: By the start that ended, and the witness.
+        since: When its first crash record was received.
+        crash_records: Records by crashed incarnation and reporter.
     """
 
     since: float
@@ -81,18 +83,18 @@
 
     @property
     def depth(self) -> int:
-        """How often it was tried again after an end, and the first time."""
+        """Length of the longest chain of attempts that each met a crash."""
         deepest = max((m.depth for m in self.list_crash_records()), default=-1)
-        # A mark may go on from one that was cleared since.
+        # The depth of a record may count records that were cleared since.
         return min(1 + deepest, len(self.crash_records))
 
     @property
     def attempts(self) -> int:
-        """How many attempts broke off with endpoints."""
+        """Number of attempts that were aborted by crashes."""
         return sum(m.attempts for m in self.list_crash_records())
 
     def list_crash_records(self) -> list[CrashRecord]:
-        """Returns its marks, those of one start together."""
+        """Returns its crash records, grouped by incarnation."""
         return [
             record
             for _, by_reporter in sorted(self.crash_records.items())
@@ -100,7 +102,7 @@
         ]
 
     def add(self, record: CrashRecord) -> bool:
-        """Takes a mark in; returns whether it was news."""
+        """Merges a crash record; returns whether it changed anything."""
         by_reporter = self.crash_records.setdefault(record.start, {})
         known = by_reporter.get(record.reporter)
         if known is not None:
@@ -114,29 +116,32 @@
 
 
 class Suspicion:
-    """All marks that an instance knows. Does no I/O and is given the time."""
+    """All crash records known to an instance.
+
+    It does no I/O; its methods take the time in seconds.
+    """
 
     def __init__(self) -> None:
         self._suspects: dict[bytes, _Suspect] = {}
         self._at_start: dict[fleet.Start, set[bytes]] = {}
-        # Contents that endpoints answered before, and since when that is known.
+        # Contents that endpoints answered before, and when that became known.
         self._exempt: dict[bytes, float] = {}
-        # Marks that no longer count, and since when.
+        # Crash records that were cleared, and when.
         self._cleared: dict[tuple[bytes, fleet.Start], float] = {}
 
     def __bool__(self) -> bool:
         """Whether any content is under suspicion."""
         return bool(self._suspects)
 
-    # What is known
+    # Queries
 
     def find_depth(self, content: bytes) -> int:
-        """Returns how deep a content is in suspicion, 0 if it is not."""
+        """Returns a content's suspicion depth, 0 if it is not a suspect."""
         suspect = self._suspects.get(content)
         return suspect.depth if suspect else 0
 
     def is_blocked(self, content: bytes) -> bool:
-        """Whether a content should reach no endpoint."""
+        """Whether a content should not be sent to any endpoint."""
         suspect = self._suspects.get(content)
         if suspect is None:
             return False
@@ -149,7 +154,7 @@
         return depth >= _SOLE_SUSPECT_DEPTH and self._is_sole_suspect(content)
 
     def _is_sole_suspect(self, content: bytes) -> bool:
-        """Whether no other content that came again shares an end with it."""
+        """Whether no other retried content shares a crash with this one."""
         rivals = {
             other
             for start in self._suspects[content].crash_records
@@ -159,10 +164,10 @@
         return rivals == {content}
 
     def may_probe(self, content: bytes, now: float) -> bool:
-        """Whether a condemned content should be tried once more.
+        """Whether a probe request with a blocked content may be sent.
 
-        It may be a common one that was on its way to endpoints that ended and
-        never answered before; the deeper it is in suspicion, the later.
+        The content may be harmless and just have been in flight to crashing
+        endpoints before any answered it. The pause grows with its depth.
         """
         suspect = self._suspects.get(content)
         if suspect is None:
@@ -171,22 +176,26 @@
         return now - suspect.since >= pause
 
     def list_blocked(self) -> list[bytes]:
-        """Returns the contents that should reach no endpoint."""
+        """Returns the contents that should not be sent to any endpoint."""
         return [c for c in self._suspects if self.is_blocked(c)]
 
     def list_crash_records(self, content: bytes) -> list[CrashRecord]:
-        """Returns the marks of a content."""
+        """Returns the crash records of a content."""
         suspect = self._suspects.get(content)
         return suspect.list_crash_records() if suspect else []
 
     def list_contents(self, min_depth: int) -> list[bytes]:
-        """Returns the contents that are at least so deep in suspicion."""
+        """Returns the contents of at least a suspicion depth."""
         return [c for c, s in self._suspects.items() if s.depth >= min_depth]
 
     def list_to_share(self, since: float) -> list[bytes]:
-        """Returns the contents that all should know of.
+        """Returns the contents that all instances should know.
+
+        These are the contents first recorded at or after a time, those with a
+        suspicion depth above 1, and the blocked ones.
 
-        Those first seen later, those that came again, and the condemned.
+        Args:
+            since: The time.
         """
         return [
             c
@@ -195,22 +204,22 @@
         ]
 
     def list_cleared(self) -> list[CrashRecord]:
-        """Returns the marks that no longer count."""
+        """Returns the cleared crash records."""
         return [CrashRecord(c, s.endpoint, s.born) for c, s in self._cleared]
 
     def find_left(self, content: bytes, now: float) -> float:
-        """Returns the seconds until what is known of a content is forgotten."""
+        """Returns the seconds until the records of a content expire."""
         suspect = self._suspects.get(content)
         if suspect is None:
             return 0.0
         return max(suspect.since + RETENTION_SECONDS - now, 0.0)
 
-    # What comes to be known
+    # Updates
 
     def add(
         self, crash_records: Iterable[CrashRecord], now: float
     ) -> list[CrashRecord]:
-        """Takes marks in; returns those that are news."""
+        """Merges crash records; returns those that were new."""
         added = []
         for record in crash_records:
             if (record.content, record.start) in self._cleared:
@@ -227,7 +236,7 @@
     def clear(
         self, crash_records: Iterable[CrashRecord], now: float
     ) -> list[CrashRecord]:
-        """Has marks count no longer; returns those for which that is news."""
+        """Clears crash records; returns those that were not cleared yet."""
         added = []
         for record in crash_records:
             key = (record.content, record.start)
@@ -240,12 +249,13 @@
         return added
 
     def exempt(self, contents: Iterable[bytes], now: float) -> list[bytes]:
-        """Notes contents that endpoints answered before.
+        """Records contents that endpoints answered before.
 
-        Only what they are deep in suspicion for counts against them.
+        They are blocked by their suspicion depth only, not by the number of
+        aborted attempts.
 
         Returns:
-            Those for which that is news.
+            The contents that were not exempt yet.
         """
         added = [c for c in contents if c not in self._exempt]
         self._exempt.update(dict.fromkeys(added, now))
@@ -253,9 +263,10 @@
         return added
 
     def forget(self, now: float) -> bool:
-        """Forgets what was known for long enough; returns whether it did.
+        """Removes expired contents; returns whether there were any.
 
-        It is cleared, so that nobody who knew it later brings it back.
+        Their records are cleared, so that an instance that received them later
+        can not add them again.
         """
         limit = now - RETENTION_SECONDS
         old = [c for c, s in self._suspects.items() if s.since <= limit]
@@ -287,7 +298,7 @@
     def _enforce_limits(self) -> None:
         over = len(self._suspects) - _MAX_CONTENTS
         if over > 0:
-            # Sorted is stable: of those as deep the oldest go first.
+            # The sort is stable: at equal depth the oldest are evicted first.
             ranked = sorted(
                 self._suspects, key=lambda c: self._suspects[c].depth
             )
--- a/src/wayslip/decisions/urgency.py
+++ b/src/wayslip/decisions/urgency.py
@@ -1,10 +1,10 @@
-"""How urgent a request is at the engines, 0 the most urgent.
+"""Ranks requests by urgency for the engines; 0 is the most urgent.
 
-Load pattern: engines read prompts one after the other, the more urgent first,
-and organisations as well as routes have priorities. The operators' pages put
-an organisation's before that of the route: requests of one organisation, or of
-two that are alike, still differ by their routes. Ways to put them together are
-registered here under their names.
+Load pattern: engines prefill prompts one after the other, the most urgent
+first, and both organisations and routes have priorities. The organisation's
+priority takes precedence over the route's; requests of one organisation, or of
+organisations with equal priority, still differ by their routes. Policies that
+combine the two priorities are registered here by name.
 """
 
 import bisect
@@ -14,7 +14,7 @@
 from wayslip.decisions import manifest as manifest_module
 from wayslip.decisions import organisations
 
-# Ranks that engines tell apart, from their pages.
+# Number of ranks that engines distinguish.
 _RANKS = 10
 
 
@@ -39,7 +39,14 @@
     route: manifest_module.Route,
     caller: organisations.Organisation | None,
 ) -> int:
-    """Returns a request's rank, 0 to 9; without a caller the route's own."""
+    """Returns a request's rank, 0 to 9.
+
+    Args:
+        policy: Name of the policy.
+        manifest: The configuration, with all priorities.
+        route: The route of the request.
+        caller: The organisation, None to use the route's priority.
+    """
     if caller is None:
         return min(max(route.priority, 0), _RANKS - 1)
     return POLICIES.get(policy)(manifest, route, caller)
@@ -51,7 +58,7 @@
     route: manifest_module.Route,
     caller: organisations.Organisation,
 ) -> int:
-    """Ranks by the organisation's priority; by the route's if it has none."""
+    """Ranks by the organisation's priority, or the route's if it has none."""
     priority = route.priority if caller.priority is None else caller.priority
     return min(max(priority, 0), _RANKS - 1)
 
@@ -62,13 +69,14 @@
     route: manifest_module.Route,
     caller: organisations.Organisation,
 ) -> int:
-    """Ranks by the organisation's priority, equal ones by the route's."""
+    """Ranks by the organisation's priority, then by the route's."""
     callers = manifest.caller_priorities
     routes = manifest.route_priorities
     mine = caller.priority
     if mine is None:
         mine = organisations.DEFAULT_PRIORITY
-    # A route of an older configuration may have a priority that is not listed.
+    # A route of an older configuration may have a priority that the manifest
+    # does not list; bisection still gives it a position.
     first = bisect.bisect_left(callers, mine)
     position = first * len(routes) + bisect.bisect_left(routes, route.priority)
     count = max(len(callers) * len(routes), 1)
--- a/src/wayslip/decisions/wait_policies.py
+++ b/src/wayslip/decisions/wait_policies.py
@@ -1,11 +1,12 @@
-"""How long a request waits for its model, and when it is to come back.
+"""Decides how long a request waits for a model that no engine can serve.
 
-Load pattern: more models are asked for than engines hold, and a request finds
-its own nowhere. Whether it should wait at the instance or be refused depends on
-when the model can serve: a load takes one to two seconds from an engine's
-memory or disk and eight from the weight store. Times are seconds.
+Load pattern: more models are requested than the engines hold, so no engine
+holds the model of a request. Whether the request should wait at the instance
+or be refused depends on when the model can serve: a load takes one to two
+seconds from an engine's memory or disk and eight from the weight store. Times
+are seconds.
 
-Ways to decide how long it waits are registered here under their names.
+Policies are registered here by name.
 """
 
 import dataclasses
@@ -13,23 +14,25 @@
 
 from wayslip import registry
 
-# Share of the latency target that a request waits for a model of which nothing
-# is known. The planner begins a load within that, if it begins one.
+# Share of the latency target that a request waits for a model without a known
+# load. If the planner starts a load, it does so within this time.
 _UNKNOWN_SHARE = 0.2
-# The same for a model that is known to be there by then: it can still be
-# answered in time.
+# Share of the latency target that a request waits for a model that is expected
+# to serve by then; the request can still be answered within the target.
 EXPECTED_SHARE = 0.6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Situation:
-    """What is known of a request whose model no engine can serve now.
+    """A request whose model no engine can serve now.
 
     Attributes:
-        waited: For which it has waited already.
-        target: Of its route, from its arrival to the first part of an answer.
-        expected: Until the model can serve, None if no load of it is known.
-        lacks_adapter_only: Whether an engine holds the model, not the adapter.
+        waited: Time that it has waited already.
+        target: Latency target of its route, from its arrival to the first part
+            of the answer.
+        expected: Time until the model can serve, None if no load is known.
+        lacks_adapter_only: Whether an engine holds the model but not the
+            adapter.
     """
 
     waited: float
@@ -42,7 +45,7 @@
     """Decides how long a request waits."""
 
     def __call__(self, situation: Situation) -> float:
-        """Returns the seconds to wait from now on, 0 or less for none."""
+        """Returns the seconds to wait from now, 0 or less not to wait."""
 
 
 WAIT_POLICIES: registry.Registry[WaitPolicy] = registry.Registry("patience")
@@ -50,12 +53,12 @@
 
 @WAIT_POLICIES.register("target")
 def wait_for_target(situation: Situation) -> float:
-    """Waits while the answer can still come within the target."""
+    """Waits as long as the answer can still arrive within the target."""
     longer_wait = EXPECTED_SHARE * situation.target - situation.waited
     if situation.lacks_adapter_only:
-        # An adapter takes some ten milliseconds. Until everybody has heard of
-        # it a large fleet takes longer than the usual patience: with 195
-        # instances a quarter of the refusals were of such requests.
+        # An adapter loads in some ten milliseconds, but in a large fleet its
+        # announcement reaches all instances later than the usual maximum wait:
+        # with 195 instances, a quarter of the refusals were of such requests.
         return longer_wait
     if situation.expected is not None and situation.expected < longer_wait:
         return longer_wait
