--- a/tests/decisions/test_lease.py
+++ b/tests/decisions/test_lease.py
@@ -9,35 +9,35 @@
     )
 
 
-def test_first_claim_begins_at_the_revision_of_the_lease():
-    # A claim that was removed and made anew must not begin at 1 again:
-    # an engine that lapsed from the list and came back had seen higher ones.
+def test_first_claim_starts_at_the_revision_of_the_lease():
+    # A claim that was removed and created again must not start at 1: an engine
+    # that was missing from the list for a time has seen higher tokens.
     claim = lease.next_claim(None, "g2", PENDING, min_token=812)
     assert claim.token == 812
 
 
-def test_token_rises_with_every_change_of_holder():
+def test_token_increases_with_every_change_of_holder():
     claim = lease.next_claim(seen("g1", 900), "g2", PENDING, min_token=812)
     assert claim.token == 901
     claim = lease.next_claim(seen("g1", 500), "g2", PENDING, min_token=812)
     assert claim.token == 812
 
 
-def test_token_stays_with_its_holder():
+def test_token_is_unchanged_for_the_same_holder():
     claim = lease.next_claim(seen("g1", 901), "g1", PENDING, min_token=812)
     assert claim.token == 901
 
 
-def test_token_rises_with_a_new_term_of_the_same_holder():
-    # g1 held the lease, then g2, which ordered engines while the store was
-    # away and so wrote no claims, then g1 again: its own claim was the last
-    # in the store, and its orders went on with the token of its first term.
-    # Engines had seen g2's. In three of 121 drawn days: 19, 2 and 4 orders.
+def test_token_increases_with_a_new_term_of_the_same_holder():
+    # g1 holds the lease, then g2, then g1 again. g2 sends orders while the
+    # store is unreachable, so it writes no claims, and the last claim in the
+    # store is g1's own. If g1 continued with the token of its first term, the
+    # engines, which have seen g2's higher token, would refuse its orders.
     claim = lease.next_claim(seen("g1", 500), "g1", PENDING, min_token=812)
     assert claim.token == 812
 
 
-def test_engine_of_another_holder_rests_for_the_distance():
+def test_engine_of_another_holder_is_claimed_after_the_minimum_gap():
     min_gap = 3.0
     delay = lease.SEND_LIMIT_SECONDS + min_gap + lease.TRANSIT_SECONDS
     other = seen("g1", 7, since=100.0)
@@ -45,12 +45,12 @@
     assert lease.may_claim(other, "g2", min_gap, 100.1 + delay)
 
 
-def test_own_and_new_engines_need_no_rest():
+def test_own_and_unclaimed_engines_are_claimed_at_once():
     assert lease.may_claim(seen("g1", 7, since=100.0), "g1", 3.0, 100.0)
     assert lease.may_claim(None, "g1", 3.0, 100.0)
 
 
-def test_lease_is_taken_after_it_stood_unchanged():
+def test_lease_is_taken_after_it_was_unchanged_until_expiry():
     value = lease.Lease("g1", "a", 1)
     observed = lease.observe_lease(None, value, 10, now=50.0)
     again = lease.observe_lease(observed, value, 10, now=51.0)
@@ -61,7 +61,7 @@
     assert not lease.may_take(renewed, "g2", 50.0 + lease.EXPIRY_SECONDS)
 
 
-def test_lease_is_taken_at_once_if_it_is_free():
+def test_released_or_own_lease_is_taken_at_once():
     assert lease.may_take(
         lease.ObservedLease(lease.Lease("g1", "a", 1).release(), 10, 50.0),
         "g2",
--- a/tests/decisions/test_ledger.py
+++ b/tests/decisions/test_ledger.py
@@ -16,7 +16,7 @@
     )
 
 
-def test_load_is_charged_before_it_is_sent():
+def test_load_is_charged_before_its_order_is_sent():
     begun = make_ledger().begin_load("a", 60, "x1", "me")
     assert begun.charged == 60
     assert begun.attempts[0].fence == 1
@@ -46,7 +46,7 @@
     assert refusal.reason is refusals.Reason.ORDER_PENDING
 
 
-def test_unfenced_order_is_settled_after_its_sender_ended():
+def test_unfenced_order_is_settled_after_quarantine_of_its_sender():
     begun = make_ledger(checks_fence=False).begin_load("a", 60, "x1", "me")
     gone = begun.give_up_sender("me", 100.0)
     assert gone.observe(residency(), 105.0, 10.0).charged == 60
@@ -67,7 +67,7 @@
     assert held.observe(residency(boot=4), 0.0, 10.0) == held
 
 
-def test_unload_waits_for_a_load_under_way():
+def test_unload_is_refused_while_a_load_is_pending():
     begun = make_ledger().begin_load("a", 60, "x1", "me")
     refusal = begun.begin_unload("a", "x2", "me")
     assert refusal.reason is refusals.Reason.ORDER_PENDING
@@ -78,7 +78,7 @@
     assert begun.withdraw("x1").charged == 0
 
 
-def test_control_behind_the_configuration_may_not_order():
+def test_control_with_an_old_configuration_may_not_order():
     followed = make_ledger().follow(7)
     assert followed.follow(6).reason is refusals.Reason.WORLD_CHANGED
 
--- a/tests/decisions/test_loading.py
+++ b/tests/decisions/test_loading.py
@@ -37,7 +37,7 @@
     return copies.Demand(rate, work)
 
 
-def test_model_that_is_nowhere_takes_the_place_of_an_unused_one():
+def test_model_without_a_copy_replaces_an_unused_one():
     pool = make_pool("a", "b", "c")
     step = plan(
         [make_engine("e1", "a", "b")], pool, {"a": asked(2), "c": asked(1)}
@@ -46,7 +46,7 @@
     assert step.is_cold
 
 
-def test_nothing_moves_without_demand_or_a_free_engine():
+def test_no_load_is_planned_without_demand_or_a_free_engine():
     pool = make_pool("a", "b", "c")
     engine = make_engine("e1", "a", "b")
     assert plan([engine], pool, {"a": asked(2)}) is None
@@ -54,7 +54,7 @@
     assert plan([busy], pool, {"c": asked(5)}) is None
 
 
-def test_cold_loads_wait_for_the_weight_store():
+def test_cold_load_is_planned_only_if_the_weight_store_allows():
     pool = make_pool("a", "b", "c")
     engine = make_engine("e1", "a", "b")
     assert plan([engine], pool, {"c": asked(2)}, cold=False) is None
@@ -63,9 +63,9 @@
     assert (step.is_cold, step.seconds) == (False, 2.0)
 
 
-def test_model_refused_for_long_is_loaded_without_a_rate():
-    # One that is asked for every eight seconds never reaches the gain of a
-    # load of nine, and was refused all day.
+def test_model_with_unserved_demand_is_loaded_at_a_low_rate():
+    # The demand of a model that is requested once in eight seconds never pays
+    # for a load of nine seconds, so without `unserved` it is always refused.
     pool = make_pool("a", "b", "c")
     engine = make_engine("e1", "a", "b")
     rare = {"a": asked(2), "c": asked(0.05)}
@@ -74,7 +74,7 @@
     assert plan([engine], pool, {**rare, "c": refused}).model == "c"
 
 
-def test_engine_with_the_weights_at_hand_is_preferred():
+def test_engine_with_the_weights_in_memory_is_preferred():
     pool = make_pool("a", "b", "c")
     engines = [
         make_engine("e1", "a"),
@@ -83,9 +83,9 @@
     assert plan(engines, pool, {"c": asked(1)}).engine == "e2"
 
 
-def test_only_copy_is_kept_while_another_is_still_coming():
-    # The copy that comes serves in nine seconds; until then this is the only
-    # one, and 5 requests a second would be lost.
+def test_only_copy_is_kept_while_another_is_still_loading():
+    # The loading copy serves in nine seconds; until then this is the only one,
+    # and 5 requests a second would be lost.
     pool = make_pool("a", "b", "c")
     engines = [
         make_engine("e1", "a", "b"),
@@ -95,7 +95,7 @@
     assert step is None or "a" not in step.victims
 
 
-def test_model_on_its_way_is_not_loaded_twice():
+def test_loading_model_is_not_loaded_twice():
     pool = make_pool("a", "b", "c")
     engines = [
         make_engine("e1", "a"),
@@ -104,7 +104,7 @@
     assert plan(engines, pool, {"c": asked(0.3)}) is None
 
 
-def test_faster_copy_is_loaded_beside_one_that_takes_long():
+def test_faster_copy_is_loaded_beside_a_slow_load():
     pool = make_pool("a", "b", "c")
     engines = [
         make_engine("e1", "a", in_memory=frozenset({"c"})),
@@ -113,7 +113,7 @@
     assert plan(engines, pool, {"c": asked(2)}).engine == "e1"
 
 
-def test_busy_engine_is_relieved_by_a_copy_elsewhere():
+def test_copy_elsewhere_is_loaded_for_a_busy_engine():
     pool = make_pool("a", "b")
     near = make_engine("e2", "b", on_disk=frozenset({"a"}))
     engines = [make_engine("e1", "a"), near]
@@ -124,21 +124,21 @@
     assert (step.engine, step.model, step.victims) == ("e2", "a", ())
 
 
-def test_copy_does_not_help_where_the_engine_is_busy_itself():
+def test_no_copy_is_loaded_on_an_engine_that_is_busy_itself():
     pool = make_pool("a", "b")
     engines = [make_engine("e1", "a"), make_engine("e2", "b")]
     busy = {"a": asked(6, work=1.5), "b": asked(6, work=1.5)}
     assert plan(engines, pool, busy) is None
 
 
-def test_fresh_model_is_not_taken_away():
+def test_recently_loaded_model_is_not_evicted():
     pool = make_pool("a", "b", "c")
     engine = make_engine("e1", "a", "b", fresh=frozenset({"b"}))
     step = plan([engine], pool, {"a": asked(5), "c": asked(1)})
     assert step is None or step.victims != ("b",)
 
 
-def test_load_waits_where_adapters_would_be_missed():
+def test_no_load_is_planned_where_adapters_are_needed_more():
     pool = make_pool("a", "b", "c", adapters=tuple(f"a{n}" for n in range(24)))
     engine = make_engine("e1", "a", "b")
     demand = {
@@ -148,7 +148,7 @@
     assert plan([engine], pool, demand) is None
 
 
-def test_adapter_goes_where_there_is_a_place():
+def test_adapter_is_loaded_where_a_slot_is_free():
     chosen = loading.choose_adapter_engine({"e1": 8, "e2": 3}, 8, {"e2": 50})
     assert chosen == "e2"
     chosen = loading.choose_adapter_engine({"e1": 2, "e2": 3}, 8, {"e1": 9})
@@ -170,9 +170,9 @@
     assert plan(engines, pool, demand).model == max(gains, key=gains.get)
 
 
-def test_model_that_was_loaded_for_refused_requests_stays_for_them():
-    # It was loaded nine seconds after a request in vain, and had made way
-    # again when the next one came (hbmaa trouble-1: 4 of 27 never served).
+def test_model_that_was_loaded_for_refused_requests_is_kept():
+    # A model with rare requests is loaded nine seconds after a refused one. If
+    # it were evicted before the next request, it would never be served.
     pool = make_pool("a", "b", "c")
     engine = make_engine("e1", "a", "b")
     wanted = {"a": asked(2), "c": copies.Demand(0.2, unserved=4.0)}
@@ -181,9 +181,9 @@
     assert plan([engine], pool, unserved) is None
 
 
-def test_some_engine_stays_free_for_demand_that_moves():
-    # All engines were busy for six seconds with loads for single requests
-    # when the busiest model came to be another one.
+def test_an_engine_stays_free_for_changing_demand():
+    # If all engines were busy with loads of several seconds for single
+    # requests, none could load a model that becomes the busiest one.
     pool = make_pool("a", "b", "c", "d")
     free = make_engine("e1", "a", "b")
     loading_now = make_engine("e2", "d", is_free=False)
@@ -191,7 +191,8 @@
     demand = {"a": asked(8), "d": asked(0.5), "c": asked(1.5)}
     assert plan([free, calm], pool, demand).model == "c"
     assert plan([free, loading_now], pool, demand) is None
-    # One that is at hand takes no time, and one that many wait for pays.
+    # A load from the engine's disk is short, and high demand pays for a long
+    # one.
     near = dataclasses.replace(free, on_disk=frozenset({"c"}))
     assert plan([near, loading_now], pool, demand).model == "c"
     rush = {**demand, "c": asked(12)}
@@ -202,8 +203,9 @@
     assert plan([], make_pool("a"), {"a": asked(1)}) is None
 
 
-def test_model_that_is_not_configured_any_more_makes_way():
-    # It was counted as nothing, and choosing it ended the planner's loop.
+def test_model_that_is_no_longer_configured_is_evicted():
+    # Such a model must count with a size: with none, its choice as an eviction
+    # victim failed and ended the planner's loop.
     pool = make_pool("a", "c")
     step = plan(
         [make_engine("e1", "a", "gone")], pool, {"a": asked(2), "c": asked(1)}
@@ -212,7 +214,7 @@
 
 
 def draw_world(seed):
-    """Returns engines, a pool and a demand, all drawn from a seed."""
+    """Returns random engines, a pool and a demand, generated from a seed."""
     rng = random.Random(seed)
     names = [f"m{n}" for n in range(rng.randint(4, 30))]
     models = {
@@ -254,7 +256,7 @@
 
 
 def search_all(engines, pool, demand, may_load_cold):
-    """Returns the gains of all loads that pay, by model and engine."""
+    """Returns the gains of all worthwhile loads, by model and engine."""
     world = copies.World(engines, pool, demand)
     gains = {}
     for name in demand:
@@ -288,14 +290,10 @@
 
 
 def test_model_that_overloads_its_engine_gets_another_copy():
-    # Symptom: on a deployment of 195 instances 254 streams of a day ran out of
-    # time on a few engines, while most of the others were idle.
-    # Sequence: demand moves at 16 s to model mida60bb49, which has one copy;
-    # its engine has 0.2 of its places taken, at 20 s 0.6, at 24 s 0.8; first
-    # events come after 1.2 s on average, streams end after 5 s; no other copy
-    # is loaded until 34 s.
-    # Cause: what an engine can not read at all was worth as little as what it
-    # reads late, less than what an engine loses by a load while others load.
+    # Demand moves to a model with a single copy. If requests beyond the prefill
+    # capacity of its engine were valued as low as late ones, a second copy
+    # would not pay for a load while other engines load, and streams would time
+    # out on this engine while others are idle.
     pool = make_pool("a", *(f"c{n}" for n in range(3, 11)))
     others = [
         make_engine(f"e{n}", f"c{n}", is_free=n < 8) for n in range(3, 11)
@@ -305,19 +303,16 @@
     step = plan(engines, pool, {**demand, "a": asked(13.0, 1.6)})
     assert step is not None
     assert (step.engine, step.model) == ("e2", "a")
-    # What is only late does not pay for a load of nine seconds.
+    # Late requests alone do not pay for a load of nine seconds.
     assert plan(engines, pool, {**demand, "a": asked(8.0, 0.98)}) is None
 
 
-def test_busy_engines_keep_a_load_for_what_is_late_from_a_large_fleet():
-    # Of 59 engines a model with two copies had waits of 0.7 to 1.7 s from 10 to
-    # 25 s, and the first load for it was planned at 16.5 s, because ten busy
-    # engines make a load cost 3.5 requests. Reckoning that by the chance that
-    # no engine is free, a play each: in 26 s of one day 71 loads from the
-    # weight store instead of 22, refusals for long waits 359 to 195, not
-    # loaded 606 to 790, 11,915 tries answered instead of 11,965; in 23 s of
-    # another 56 loads instead of 20 and 9,822 answered instead of 9,830. No
-    # gain is shown, so this is left as it is.
+def test_late_requests_pay_for_no_load_while_many_engines_are_busy():
+    # Ten busy engines of 59 make a load cost 3.5 requests, so a model whose
+    # requests are only late gets no further copy for some time. Weighing the
+    # cost by the chance that no engine is free gives about three times as many
+    # loads from the weight store and no more answered requests, so it is not
+    # done.
     names = [f"m{n}" for n in range(57)]
     pool = make_pool("busy", *names)
     engines = [
@@ -332,12 +327,12 @@
         for n, e in enumerate(engines)
     ]
     assert plan(loading_now, pool, demand) is None
-    # What its engines can not do at all pays for it also then.
+    # Requests beyond the capacity of its engines pay for a load even then.
     rush = {**demand, "busy": asked(35.0, 3.0)}
     assert plan(loading_now, pool, rush).model == "busy"
 
 
-def test_model_whose_engine_names_a_limit_is_owed_a_copy_elsewhere():
+def test_model_of_a_rate_limited_engine_gets_a_copy_elsewhere():
     pool = make_pool("a", "b", "c")
     demand = {"a": asked(4, 0.2)}
     other = make_engine("e2", "b", on_disk=frozenset({"a"}))
@@ -355,7 +350,7 @@
     assert plan([limited, other], pool, demand) is None
 
 
-def test_model_whose_engine_rests_is_owed_a_copy_elsewhere():
+def test_model_of_an_engine_that_backs_off_gets_a_copy_elsewhere():
     pool = make_pool("a", "b", "c")
     demand = {"a": asked(8, 0.4)}
     other = make_engine("e2", "b", on_disk=frozenset({"a"}))
@@ -366,7 +361,7 @@
 
 
 @pytest.mark.parametrize("constraint", [{"limit": 1.0}, {"rest": 2.0}])
-def test_engine_in_need_is_loaded_only_where_no_other_can_be(constraint):
+def test_constrained_engine_is_loaded_only_without_others(constraint):
     pool = make_pool("a", "b", "c")
     constrained = make_engine("e1", **constraint)
     other = make_engine("e2", "a")
--- a/tests/decisions/test_membership.py
+++ b/tests/decisions/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: deaths are found, the living are kept, halves meet again."""
+"""Membership: failures are detected, live members stay, partitions heal."""
 
 import pytest
 
@@ -13,27 +13,27 @@
 
 
 def run_until(fleet, condition, seconds):
-    """Lets given time pass until a condition holds; no clock is read."""
+    """Advances the simulated time until a condition holds."""
     limit = fleet.now + seconds
     while not condition():
-        assert fleet.now < limit, "never came true"
+        assert fleet.now < limit, "condition not met in time"
         fleet.tick()
 
 
-def test_nobody_is_dropped_while_all_answer():
+def test_no_member_is_removed_while_all_answer():
     fleet = slopes.Fleet(SIZE)
     for _ in range(600):
         fleet.tick()
         assert live_counts(fleet) == {SIZE}
 
 
-def test_silent_member_is_dropped_by_all():
+def test_unresponsive_member_is_removed_by_all():
     fleet = slopes.Fleet(SIZE)
     fleet.nodes.pop("10.0.0.3:7000")
     run_until(fleet, lambda: live_counts(fleet) == {SIZE - 1}, 15)
 
 
-def test_suspect_that_lives_refutes():
+def test_live_suspect_refutes_the_suspicion():
     fleet = slopes.Fleet(SIZE)
     suspected = fleet.nodes["10.0.0.3:7000"]
     reporter = fleet.nodes["10.0.0.4:7000"]
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("seconds", [20, 3600])
-def test_parted_halves_meet_again(seconds):
+def test_members_rejoin_after_a_partition(seconds):
     fleet = slopes.Fleet(SIZE, seeds=3)
     fleet.parted = {f"10.0.0.{n}:7000" for n in range(2, 7)}
     run_until(fleet, lambda: live_counts(fleet) <= {5, 7}, 30)
--- a/tests/decisions/test_permits.py
+++ b/tests/decisions/test_permits.py
@@ -1,4 +1,4 @@
-"""Places in the limit that an endpoint names."""
+"""Permits under the rate limit that an endpoint states."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 
 
 def take_all(bucket, times, max_wait=0.0):
-    """Takes a place at each time; returns when those granted are used."""
+    """Requests a permit at each time; returns when granted ones are used."""
     used = []
     for now in times:
         bucket, verdict = bucket.take(max_wait, now)
@@ -21,9 +21,7 @@
 
 @pytest.mark.parametrize("rate", [0.3, 1.0, 1.1, 7.0])
 @pytest.mark.parametrize("max_wait", [0.0, 0.4, 5.0])
-def test_no_window_holds_more_than_the_limit_and_what_is_saved_up(
-    rate, max_wait
-):
+def test_no_window_exceeds_the_limit_plus_the_burst(rate, max_wait):
     bucket = permits.PermitBucket.begin(rate, 0.0)
     used = take_all(bucket, every(0.01, 40.0), max_wait)
     for at in used:
@@ -32,42 +30,42 @@
     assert len(used) >= rate * 40.0 - 1
 
 
-def test_first_place_is_given_once_it_is_earned():
+def test_first_permit_is_granted_once_it_has_accumulated():
     bucket = permits.PermitBucket.begin(2.0, 0.0)
     assert take_all(bucket, [0.0, 0.49, 0.51]) == [0.51]
 
 
-def test_refusal_tells_when_a_place_is_free():
+def test_refusal_states_when_a_permit_is_available():
     bucket, verdict = permits.PermitBucket.begin(0.5, 0.0).take(0.0, 1.0)
     assert verdict == permits.Verdict(False, pytest.approx(1.0))
     _, verdict = bucket.take(0.0, 2.0)
     assert verdict.is_granted
 
 
-def test_places_are_promised_for_a_moment_ahead_only():
+def test_permits_are_granted_at_most_one_second_in_advance():
     bucket = permits.PermitBucket.begin(10.0, 0.0)
     used = take_all(bucket, [0.0] * 30, 60.0)
     assert len(used) == 10
     assert max(used) <= permits.MAX_ADVANCE_SECONDS
 
 
-def test_next_place_is_promised_however_late_it_is():
+def test_next_permit_is_granted_however_late_it_is():
     used = take_all(permits.PermitBucket.begin(0.2, 0.0), [0.0] * 3, 60.0)
     assert used == [pytest.approx(5.0)]
 
 
-def test_new_rate_counts_from_its_change_on():
+def test_new_rate_applies_from_its_change():
     bucket = permits.PermitBucket.begin(1.0, 0.0).change_rate(0.1, 0.5)
     assert take_all(bucket, [5.4, 5.6]) == [5.6]
 
 
-def test_endpoint_that_wants_nothing_is_asked_now_and_then():
+def test_endpoint_with_a_limit_of_zero_is_asked_every_ten_seconds():
     bucket = permits.PermitBucket.begin(0.0, 0.0)
     assert len(take_all(bucket, every(0.1, 60.0))) == pytest.approx(6, abs=1)
 
 
 @pytest.mark.parametrize("instances", [1, 2, 3, 9, 60, 300])
-def test_parts_of_those_who_hear_nobody_are_the_limit_together(instances):
+def test_shares_without_a_holder_sum_to_the_limit(instances):
     draws = [(n + 0.5) / instances for n in range(instances)]
     shares = [permits.find_share(1.0, instances, draw) for draw in draws]
     given = [share for share in shares if share is not None]
--- a/tests/decisions/test_plan.py
+++ b/tests/decisions/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans fit at every step, whatever order engines take."""
+"""Plans fit in memory at every step, in any interleaving of engines."""
 
 import random
 
@@ -39,18 +39,18 @@
     return plans.build_plan(world, change, STORE, DRAFT)
 
 
-def test_what_does_not_fit_is_refused():
+def test_change_that_does_not_fit_is_refused():
     refusal = build(make_change([60, 60], 1), make_engines([100]))
     assert refusal.reason is refusals.Reason.NO_MEMORY
 
 
-def test_items_that_sit_well_stay():
+def test_validly_placed_items_stay():
     held = [{"m0@v1": 40}, {"m1@v1": 40}]
     plan = build(make_change([40, 40], 2), make_engines([100, 100], held))
     assert plan.steps == ()
 
 
-def test_changed_ledger_is_named():
+def test_engine_with_a_changed_ledger_is_reported():
     change = make_change([40], 1)
     plan = build(change, make_engines([100]))
     world = plans.World(
@@ -84,7 +84,7 @@
 
 
 def _carry_out(plan, engines, rng):
-    """Runs the steps, each engine in its own order, engines as they come."""
+    """Runs each engine's steps in order, interleaved at random."""
     wanted = configuration.Configuration().apply(plan.change, "", "")
     required = catalogs.build_catalog(wanted).required
     memory = {name: dict(state.held) for name, state in engines.items()}
@@ -94,7 +94,7 @@
         todo[step.engine].append(step)
     while any(todo.values()):
         ready = [n for n in todo if todo[n] and _may(todo[n][0], memory, plan)]
-        assert ready, "no engine can go on"
+        assert ready, "no engine can run its next step"
         name = rng.choice(ready)
         step = todo[name].pop(0)
         if step.action is ledger.Action.LOAD:
@@ -109,7 +109,10 @@
 
 
 def _may(step, memory, plan):
-    """The executor's rules: room for a load, another replica to evict."""
+    """Whether the executor may run a step.
+
+    A load needs free memory, an eviction another replica of the item.
+    """
     held = memory[step.engine]
     if step.action is ledger.Action.LOAD:
         return sum(held.values()) + step.size <= 100
--- a/tests/decisions/test_position.py
+++ b/tests/decisions/test_position.py
@@ -1,4 +1,4 @@
-"""Positions in a history that may go back to a copy."""
+"""Positions in a history that a restore from a copy may set back."""
 
 import hypothesis
 from hypothesis import strategies
@@ -22,14 +22,15 @@
     assert position.make(0, 77) == 77
 
 
-def test_token_of_a_late_era_is_exact_as_floating_point():
+def test_token_of_a_high_era_is_exact_as_floating_point():
     token = position.make(8000, 2**40 - 1)
     assert int(float(token)) == token
 
 
 @hypothesis.given(strategies.integers(0, 10**7), ERAS)
-def test_terms_of_a_new_era_are_above_all_that_were_given_before(term, era):
-    # Whoever takes the lease from a copy may not know the last terms.
+def test_terms_of_a_new_era_are_above_all_earlier_terms(term, era):
+    # An instance that takes the lease from a restored store may not know the
+    # last terms of the previous era.
     last = lease.next_term(term, era)
     assert last > term
     if last < (era + 1) * 1_000_000:
@@ -40,13 +41,13 @@
     return lease.Claim("e1", holder, token)
 
 
-def test_claim_of_a_copy_does_not_replace_a_later_one():
+def test_claim_of_a_restored_store_does_not_replace_a_later_one():
     known = lease.ObservedClaim(claim(9), position.make(1, 50), 3.0)
     seen = lease.observe_claim(known, claim(4, "g2"), position.make(2, 20), 8.0)
     assert seen == lease.ObservedClaim(claim(9), position.make(2, 20), 3.0)
 
 
-def test_claim_that_was_written_after_the_return_counts_from_then():
+def test_claim_written_after_a_restore_replaces_the_known_one():
     known = lease.ObservedClaim(claim(9), position.make(1, 50), 3.0)
     late = claim(position.make(2, 15), "g2")
     seen = lease.observe_claim(known, late, position.make(2, 20), 8.0)
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -12,20 +12,20 @@
     return selection.Candidate(name, **{"slots": 8, **fields})
 
 
-def test_endpoint_with_less_to_read_is_chosen():
+def test_endpoint_with_less_pending_prefill_is_chosen():
     choice = selection.choose(
         [candidate("a", unread=0.4), candidate("b", unread=0.1)], 0.0
     )
     assert choice.name == "b"
 
 
-def test_cached_prompt_is_worth_a_little_queue():
+def test_cached_prompt_outweighs_a_short_queue():
     near = candidate("a", reading=0.02, in_flight=3)
     far = candidate("b", reading=0.15)
     assert selection.choose([near, far], 0.0).name == "a"
 
 
-def test_equal_endpoints_are_drawn():
+def test_equal_endpoints_are_chosen_at_random():
     found = {
         selection.choose([candidate("a"), candidate("b")], draw).name
         for draw in (0.0, 0.9)
@@ -33,7 +33,7 @@
     assert found == {"a", "b"}
 
 
-def test_suspended_endpoint_is_a_last_resort():
+def test_suspended_endpoint_is_used_only_without_others():
     suspended = candidate("a", is_suspended=True)
     assert selection.choose([suspended, candidate("b")], 0.0).name == "b"
     assert selection.choose([suspended], 0.0).name == "a"
@@ -51,7 +51,7 @@
     assert selection.choose([fresh, candidate("b")], 0.0).name == "b"
 
 
-def test_condition_rests_longer_with_every_miss_and_forgives():
+def test_back_off_doubles_with_every_failure_and_ends_with_a_success():
     state = condition.Condition().miss(10.0)
     first = state.rests_until - 10.0
     state = state.miss(11.0)
@@ -60,7 +60,7 @@
     assert not state.is_backing_off(12.0)
 
 
-def test_condition_fades_so_that_an_endpoint_is_tried_again():
+def test_failure_rate_decays_so_that_an_endpoint_is_used_again():
     state = condition.Condition()
     for second in range(10):
         state = state.note(True, float(second))
@@ -68,7 +68,7 @@
     assert state.failing(30.0) < 0.02
 
 
-def test_repeats_keep_to_the_ratio_and_a_part_of_the_slack():
+def test_retries_stay_within_the_ratio_and_the_slack():
     terms = budget.Terms(ratio=0.2, window=10.0, slack=52.0)
     instances, requests = 6, 100
     allowed = 0
@@ -89,7 +89,7 @@
     assert not one.take(11.0, 1)
 
 
-def test_rates_fade_and_are_forgotten():
+def test_rates_decay_and_are_removed():
     rates = demand.Rates(4.0)
     rates.add("m", 4, 0.0)
     assert rates.get("m", 0.0) == 1.0
@@ -97,7 +97,7 @@
     assert rates.all(100.0) == {}
 
 
-def test_reading_rate_is_learned_for_each_model():
+def test_prefill_rate_is_estimated_for_each_model():
     rates = reading.ReadingRates()
     before = rates.estimate("slow", 2000)
     for _ in range(20):
@@ -108,14 +108,11 @@
     assert rates.estimate("other", 2000) == before
 
 
-def test_samples_that_waited_behind_others_do_not_make_a_model_slow():
-    # Symptom: on a deployment of 195 instances a request for the busiest model
-    # was expected to wait for 1.8 s where it waited for 0.8, and 613 of some
-    # 10,000 were refused for it.
-    # Sequence: an engine is busy; an instance that has not heard of it yet
-    # sends it a request and takes the whole wait for reading; the next ones
-    # do so too.
-    # Cause: slow samples weighed as much as fast ones.
+def test_samples_delayed_by_other_requests_do_not_lower_the_estimate():
+    # An instance that does not know yet that an engine is busy sends it a
+    # request and counts the whole wait as prefill time. If such slow samples
+    # weigh as much as fast ones, the predicted waits become too long, and
+    # requests that could be served are refused.
     rng = random.Random(5)
     for rate in (19_100, 54_600):
         rates = reading.ReadingRates()
--- a/tests/decisions/test_suspicion.py
+++ b/tests/decisions/test_suspicion.py
@@ -19,19 +19,19 @@
     return found
 
 
-def test_first_end_condemns_nobody():
+def test_first_crash_blocks_no_content():
     found = judge(record(POISON, "e1"), record(OTHER, "e1"))
     assert found.list_blocked() == []
 
 
-def test_content_that_was_tried_again_alone_is_condemned():
+def test_content_that_alone_was_retried_is_blocked():
     found = judge(
         record(POISON, "e1"), record(OTHER, "e1"), record(POISON, "e2", depth=1)
     )
     assert found.list_blocked() == [POISON]
 
 
-def test_contents_that_came_again_together_wait_for_a_third_end():
+def test_contents_that_were_retried_together_need_a_third_crash():
     crash_records = [
         record(content, endpoint, depth)
         for content in (POISON, OTHER)
@@ -42,7 +42,7 @@
     assert found.list_blocked() == [POISON]
 
 
-def test_content_three_deep_is_condemned_though_it_was_answered_before():
+def test_content_at_depth_three_is_blocked_though_answered_before():
     crash_records = [
         record(content, endpoint, depth, attempts=0)
         for content in (POISON, OTHER)
@@ -53,7 +53,7 @@
     assert found.list_blocked() == [POISON]
 
 
-def test_answer_to_one_of_them_leaves_the_other_alone():
+def test_answer_to_one_suspect_makes_the_other_the_sole_suspect():
     crash_records = [
         record(content, endpoint, depth)
         for content in (POISON, OTHER)
@@ -65,15 +65,15 @@
     assert found.list_blocked() == [POISON]
 
 
-def test_two_attempts_under_way_together_are_one_step():
+def test_two_concurrent_attempts_are_one_step_of_depth():
     found = judge(record(OTHER, "e1"), record(OTHER, "e2"))
     assert found.find_depth(OTHER) == 1
     assert found.list_blocked() == []
 
 
-def test_three_attempts_that_broke_off_condemn_however_they_were_sent():
-    # Eight attempts were sent between the first end and the second; three had
-    # broken off with the first already, at two instances.
+def test_three_aborted_attempts_block_a_content():
+    # Many attempts may be sent between two crashes. Three that the first crash
+    # aborted, at two instances, are enough to block the content.
     found = judge(record(POISON, "e1", attempts=2), record(POISON, "e1"))
     assert found.list_blocked() == []
     found = judge(
@@ -82,7 +82,7 @@
     assert found.list_blocked() == [POISON]
 
 
-def test_content_that_was_answered_before_is_condemned_by_the_chain_only():
+def test_exempt_content_is_blocked_by_depth_only():
     found = judge(record(OTHER, "e1", attempts=5))
     assert found.list_blocked() == [OTHER]
     assert found.exempt([OTHER], 0.0) == [OTHER]
@@ -91,14 +91,14 @@
     assert found.list_blocked() == [OTHER]
 
 
-def test_attempts_at_a_common_content_condemn_it_by_the_chain_only():
+def test_records_without_attempts_block_a_content_by_depth_only():
     records = [record(OTHER, f"e{n}", attempts=0) for n in range(8)]
     assert judge(*records).list_blocked() == []
     found = judge(*records, record(OTHER, "e9", depth=1, attempts=0))
     assert found.list_blocked() == [OTHER]
 
 
-def test_mark_that_went_on_from_a_cleared_one_counts_once():
+def test_record_that_builds_on_a_cleared_one_counts_once():
     found = judge(
         record(OTHER, "e1"),
         record(OTHER, "e2", depth=1),
@@ -107,12 +107,12 @@
     assert found.find_depth(OTHER) == 1
 
 
-def test_later_start_of_an_endpoint_is_another_one():
+def test_incarnations_of_an_endpoint_are_distinct():
     found = judge(record(POISON, "e1", born=1), record(POISON, "e1", 1, born=2))
     assert found.list_blocked() == [POISON]
 
 
-def test_condemned_content_is_tried_again_the_later_the_deeper_it_is():
+def test_probe_of_a_blocked_content_is_later_at_a_higher_depth():
     once = judge(record(OTHER, "e1", attempts=3))
     assert not once.may_probe(OTHER, 29.0)
     assert once.may_probe(OTHER, 30.0)
@@ -122,20 +122,20 @@
     assert not twice.may_probe(b"unknown", 1000.0)
 
 
-def test_marks_are_forgotten_after_their_time():
+def test_records_expire_after_the_retention_time():
     found = judge(record(POISON, "e1"), record(POISON, "e2", 1))
     assert found.find_left(POISON, 1.0) == suspicion.RETENTION_SECONDS - 1.0
     found.forget(suspicion.RETENTION_SECONDS - 1.0)
     assert found.list_blocked() == [POISON]
     found.forget(suspicion.RETENTION_SECONDS + 1.0)
     assert not found
-    # Who heard of them later tells them still.
+    # Another instance that received the records later may still send them.
     late_records = [record(POISON, "e1"), record(POISON, "e2", 1)]
     assert not found.add(late_records, suspicion.RETENTION_SECONDS + 2.0)
     assert not found
 
 
-def test_thousands_of_contents_do_not_push_out_a_condemned_one():
+def test_thousands_of_contents_do_not_evict_a_blocked_one():
     found = judge(record(POISON, "e1"), record(POISON, "e2", 1))
     for n in range(suspicion._MAX_CONTENTS * 2):
         found.add([record(b"%d" % n, f"f{n // 50}")], 1.0)
@@ -177,7 +177,7 @@
 
 
 @hypothesis.given(STEPS)
-def test_nothing_is_condemned_that_broke_off_once(steps):
+def test_content_with_one_aborted_attempt_is_not_blocked(steps):
     found = suspicion.Suspicion()
     for verb, one in steps:
         getattr(found, verb)([one], 0.0)
--- a/tests/decisions/test_urgency.py
+++ b/tests/decisions/test_urgency.py
@@ -42,12 +42,12 @@
         ("both", [0, 1, 2, 3, 4, 5]),
     ],
 )
-def test_organisations_and_routes_are_put_together(policy, ranks):
+def test_priorities_of_organisations_and_routes_are_combined(policy, ranks):
     assert rank_all(policy) == ranks
 
 
 @pytest.mark.parametrize("policy", list(urgency.POLICIES))
-def test_without_an_organisation_the_routes_priority_counts(policy):
+def test_without_an_organisation_the_route_priority_applies(policy):
     assert urgency.rank(policy, MANIFEST, ROUTES[2], None) == 2
 
 
@@ -76,6 +76,6 @@
     assert (ranks[0], ranks[-1]) == (0, 9)
 
 
-def test_unknown_policy_is_named_with_those_there_are():
+def test_error_for_an_unknown_policy_lists_the_known_ones():
     with pytest.raises(errors.SettingsError, match="both"):
         urgency.rank("none", MANIFEST, ROUTES[0], FIRST)
--- a/tests/decisions/test_wait_policies.py
+++ b/tests/decisions/test_wait_policies.py
@@ -1,4 +1,4 @@
-"""Replays of the worst load: models that are asked for and nowhere."""
+"""Maximum waits of requests for models that no engine holds."""
 
 import pytest
 
@@ -6,16 +6,17 @@
 
 
 def situation(**fields):
-    """A patient kind's request: 6 s to its target, 15 s in all."""
+    """Returns a request with a long latency target of 6 s."""
     return wait_policies.Situation(**{"waited": 0.0, "target": 6.0} | fields)
 
 
 def urgent(**fields):
+    """Returns a request with a short latency target of 0.8 s."""
     return wait_policies.Situation(**{"waited": 0.0, "target": 0.8} | fields)
 
 
 @pytest.mark.parametrize("name", list(wait_policies.WAIT_POLICIES))
-def test_nothing_known_is_waited_for_a_moment_only(name):
+def test_request_without_a_known_load_waits_a_fifth_of_its_target(name):
     max_wait = wait_policies.WAIT_POLICIES.get(name)
     assert max_wait(situation()) == pytest.approx(1.2)
     assert max_wait(situation(waited=1.3)) < 0
@@ -23,12 +24,12 @@
 
 
 @pytest.mark.parametrize("name", list(wait_policies.WAIT_POLICIES))
-def test_adapter_alone_is_worth_waiting_for(name):
+def test_request_that_lacks_only_the_adapter_waits_longer(name):
     max_wait = wait_policies.WAIT_POLICIES.get(name)
     assert max_wait(urgent(lacks_adapter_only=True)) == pytest.approx(0.48)
 
 
-def test_model_that_is_there_in_time_is_waited_for():
+def test_request_waits_for_a_model_expected_in_time():
     max_wait = wait_policies.WAIT_POLICIES.get("target")
     assert max_wait(situation(expected=3.5)) == pytest.approx(3.6)
     assert max_wait(situation(expected=3.7)) == pytest.approx(1.2)
