--- a/src/wayslip/decisions/membership.py
+++ b/src/wayslip/decisions/membership.py
@@ -1,12 +1,13 @@
-"""Which daemons are there, by probing one random peer at a time.
+"""Membership of daemons, by probing one random peer at a time.
 
-The protocol follows SWIM (Das, Gupta and Motivala, 2002): each period a
-member probes one other, through a few helpers when it does not answer, and
-news rides on the probes. A suspect can refute with a higher incarnation. So
-a member's cost does not grow with the fleet, and there is no full mesh.
+The protocol follows SWIM (Das, Gupta and Motivala, 2002): in each period a
+member probes one other member, and probes it indirectly through a few relays
+if it does not answer. Membership updates are piggybacked on the probes. A
+suspect refutes a suspicion with a higher incarnation. The cost of a member
+therefore does not grow with the fleet, and no full mesh is needed.
 
-The object is one member's state. It does no I/O: calls take the time and
-return the messages to send.
+`Membership` is the state of one member. It does no I/O: its methods take the
+time and return the messages to send.
 """
 
 from collections.abc import Iterable
@@ -15,22 +16,22 @@
 import math
 import random
 
-_HELPERS = 2
-_NEWS_PER_MESSAGE = 6
-_RETRANSMIT = 3
-_DEAD_KEPT = 60.0
-_REJOIN_ODDS = 0.1
+_RELAY_COUNT = 2
+_MAX_UPDATES_PER_MESSAGE = 6
+_RETRANSMIT_FACTOR = 3
+_DEAD_RETENTION_SECONDS = 60.0
+_REJOIN_PROBABILITY = 0.1
 
 
 class Role(enum.StrEnum):
-    """The programs that are members."""
+    """The program that a member runs."""
 
     ENTRY = "entry"
     CONTROL = "control"
 
 
 class Status(enum.StrEnum):
-    """What a member is thought to be; later ones win at one incarnation."""
+    """State of a member; later values win within one incarnation."""
 
     ALIVE = "alive"
     LEAVING = "leaving"
@@ -38,7 +39,7 @@
     DEAD = "dead"
 
 
-_STRENGTH = {s: n for n, s in enumerate(Status)}
+_PRECEDENCE = {s: n for n, s in enumerate(Status)}
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -47,8 +48,8 @@
 
     Attributes:
         name: Role and instance, "entry/kolkata-1".
-        boot: Start of the process, milliseconds; never changes in its life.
-        incarnation: Begins at `boot` and is raised to refute a suspicion.
+        boot: Start time of the process, milliseconds; constant while it runs.
+        incarnation: Starts at `boot` and is increased to refute a suspicion.
     """
 
     name: str
@@ -61,14 +62,14 @@
 
     @property
     def process(self) -> str:
-        """Names this very process; another start has another name."""
+        """Identifies the process; it differs after a restart."""
         return f"{self.name}#{self.boot}"
 
-    def beats(self, other: "Member") -> bool:
-        """Whether this word on a member replaces another."""
+    def supersedes(self, other: "Member") -> bool:
+        """Whether this update on a member replaces another one."""
         if self.incarnation != other.incarnation:
             return self.incarnation > other.incarnation
-        return _STRENGTH[self.status] > _STRENGTH[other.status]
+        return _PRECEDENCE[self.status] > _PRECEDENCE[other.status]
 
 
 class Probe(enum.StrEnum):
@@ -81,11 +82,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Message:
-    """A probe with news.
+    """A probe message with piggybacked membership updates.
 
     Attributes:
-        seq: Number that the answer repeats.
-        sender: Name of the member that sends it.
+        seq: Sequence number, repeated by the answer.
+        sender: Name of the sending member.
+        news: Membership updates.
         subject: For a relay, the address to probe.
     """
 
@@ -97,8 +99,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Out:
-    """A message and the address it goes to."""
+class Outgoing:
+    """A message and its destination address."""
 
     address: str
     message: Message
@@ -106,7 +108,15 @@
 
 @dataclasses.dataclass(slots=True)
 class _Pending:
-    """A probe that waits for its answer."""
+    """A probe that was not answered yet.
+
+    Attributes:
+        name: The probed member, empty if only its address is known.
+        sent: When it was sent.
+        relayed: Whether relays were asked to probe the member too.
+        answer_to: For a relayed probe, the address that asked for it.
+        answer_seq: For a relayed probe, the sequence number to answer with.
+    """
 
     name: str
     sent: float
@@ -116,7 +126,7 @@
 
 
 class Membership:
-    """One member's view of all."""
+    """One member's view of all members."""
 
     def __init__(
         self,
@@ -133,24 +143,24 @@
         self._rng = rng
         self._members: dict[str, Member] = {me.name: me}
         self._changed: dict[str, float] = {}
-        # Suspects and the dead, so that a tick looks at few members.
-        self._doubtful: set[str] = set()
+        # Suspect and dead members, so that a tick only scans these.
+        self._unhealthy: set[str] = set()
         self._sends_left: dict[str, int] = {}
         self._pending: dict[int, _Pending] = {}
         self._seq = 0
         self._next_probe = 0.0
         self._order: list[str] = []
-        self._spread(me)
+        self._enqueue_update(me)
 
     # Looking up
 
     @property
     def members(self) -> tuple[Member, ...]:
-        """All members that are remembered, dead ones for a while."""
+        """All known members; dead ones are kept for a limited time."""
         return tuple(self._members.values())
 
     def live(self, role: Role | None = None) -> tuple[Member, ...]:
-        """Returns the members that work, suspects included."""
+        """Returns the alive and suspect members."""
         working = (Status.ALIVE, Status.SUSPECT)
         return tuple(
             m
@@ -163,28 +173,33 @@
         return self._members.get(name)
 
     def pick(self, count: int) -> list[Member]:
-        """Returns some random live members besides this one."""
+        """Returns up to `count` random live members except this one."""
         others = [m for m in self.live() if m.name != self.me.name]
         return self._rng.sample(others, min(count, len(others)))
 
     # Events
 
     def leave(self) -> None:
-        """Starts to tell the others that this member is stopping."""
+        """Starts to announce that this member is leaving."""
         self.me = dataclasses.replace(self.me, status=Status.LEAVING)
         self._members[self.me.name] = self.me
-        self._spread(self.me)
+        self._enqueue_update(self.me)
 
-    def tick(self, now: float) -> list[Out]:
-        """Returns the messages that are due; call it several times a period."""
+    def tick(self, now: float) -> list[Outgoing]:
+        """Returns the messages that are due.
+
+        To be called several times a period.
+        """
         self._expire(now)
-        out = self._chase(now)
+        out = self._check_pending(now)
         if now >= self._next_probe:
             self._next_probe = now + self._period
             out += self._probe_next(now)
         return out
 
-    def receive(self, message: Message, source: str, now: float) -> list[Out]:
+    def receive(
+        self, message: Message, source: str, now: float
+    ) -> list[Outgoing]:
         """Returns the answers to a message from an address."""
         for member in message.news:
             self.merge(member, now)
@@ -199,25 +214,25 @@
         return self._settle(message, now)
 
     def merge(self, member: Member, now: float) -> bool:
-        """Takes in word of a member; returns whether it was news."""
+        """Applies an update on a member; returns whether it was new."""
         if member.name == self.me.name:
             return self._refute(member)
         known = self._members.get(member.name)
-        if known is not None and not member.beats(known):
+        if known is not None and not member.supersedes(known):
             return False
         if known is None and member.status is Status.DEAD:
             return False
         self._members[member.name] = member
         self._changed[member.name] = now
         if member.status in (Status.SUSPECT, Status.DEAD):
-            self._doubtful.add(member.name)
+            self._unhealthy.add(member.name)
         else:
-            self._doubtful.discard(member.name)
-        self._spread(member)
+            self._unhealthy.discard(member.name)
+        self._enqueue_update(member)
         return True
 
     def _refute(self, member: Member) -> bool:
-        if not member.beats(self.me):
+        if not member.supersedes(self.me):
             return False
         if member.incarnation == self.me.incarnation and member.status in (
             Status.ALIVE,
@@ -228,36 +243,38 @@
             self.me, incarnation=member.incarnation + 1
         )
         self._members[self.me.name] = self.me
-        self._spread(self.me)
+        self._enqueue_update(self.me)
         return True
 
     # Probing
 
-    def _probe_next(self, now: float) -> list[Out]:
-        if self._rng.random() < _REJOIN_ODDS:
-            lost = self._find_lost()
-            if lost:
-                return [self._send(self._rng.choice(lost), _Pending("", now))]
+    def _probe_next(self, now: float) -> list[Outgoing]:
+        if self._rng.random() < _REJOIN_PROBABILITY:
+            addresses = self._list_rejoin_addresses()
+            if addresses:
+                return [
+                    self._send(self._rng.choice(addresses), _Pending("", now))
+                ]
         target = self._next_target()
         if target is not None:
             return [self._send(target.address, _Pending(target.name, now))]
         return [self._send(s, _Pending("", now)) for s in self._seeds]
 
-    def _find_lost(self) -> list[str]:
-        """Returns addresses to try again, so that parted halves meet again.
+    def _list_rejoin_addresses(self) -> list[str]:
+        """Returns addresses to probe so that a healed partition can rejoin.
 
-        The dead are forgotten after a while; the seeds never are.
+        Dead members are dropped after a time; the seeds never are.
         """
         dead = [
             self._members[n].address
-            for n in sorted(self._doubtful)
+            for n in sorted(self._unhealthy)
             if self._members[n].status is Status.DEAD
         ]
         known = {m.address for m in self._members.values()}
         return [*dead, *(s for s in self._seeds if s not in known)]
 
     def _next_target(self) -> Member | None:
-        # Round robin over a shuffled list bounds the time to find a death.
+        # Round robin over a shuffled list bounds the failure detection time.
         while self._order:
             member = self._members.get(self._order.pop())
             if member and member.status is not Status.DEAD:
@@ -270,34 +287,34 @@
         self._rng.shuffle(self._order)
         return self._members[self._order.pop()] if self._order else None
 
-    def _send(self, address: str, pending: _Pending) -> Out:
+    def _send(self, address: str, pending: _Pending) -> Outgoing:
         self._seq += 1
         self._pending[self._seq] = pending
-        return self._out(address, Probe.PING, self._seq, about=pending.name)
+        return self._out(address, Probe.PING, self._seq, recipient=pending.name)
 
-    def _chase(self, now: float) -> list[Out]:
-        out: list[Out] = []
+    def _check_pending(self, now: float) -> list[Outgoing]:
+        out: list[Outgoing] = []
         for seq, pending in list(self._pending.items()):
             waited = now - pending.sent
             if waited >= self._period and not pending.relayed:
                 pending.relayed = True
-                out += self._ask_helpers(seq, pending)
+                out += self._request_relays(seq, pending)
             if waited >= 2 * self._period:
                 del self._pending[seq]
                 self._suspect(pending.name, now)
         return out
 
-    def _ask_helpers(self, seq: int, pending: _Pending) -> list[Out]:
+    def _request_relays(self, seq: int, pending: _Pending) -> list[Outgoing]:
         target = self._members.get(pending.name)
         if target is None:
             return []
-        helpers = [m for m in self.pick(_HELPERS) if m.name != target.name]
+        relays = [m for m in self.pick(_RELAY_COUNT) if m.name != target.name]
         return [
             self._out(h.address, Probe.RELAY, seq, target.address)
-            for h in helpers
+            for h in relays
         ]
 
-    def _settle(self, message: Message, now: float) -> list[Out]:
+    def _settle(self, message: Message, now: float) -> list[Outgoing]:
         pending = self._pending.pop(message.seq, None)
         if pending is None:
             return []
@@ -313,23 +330,25 @@
         self.merge(dataclasses.replace(member, status=Status.SUSPECT), now)
 
     def _expire(self, now: float) -> None:
-        for name in list(self._doubtful):
+        for name in list(self._unhealthy):
             member = self._members[name]
             age = now - self._changed.get(member.name, now)
             if member.status is Status.SUSPECT and age >= self._suspicion:
                 dead = dataclasses.replace(member, status=Status.DEAD)
                 self.merge(dead, now)
-            elif member.status is Status.DEAD and age >= _DEAD_KEPT:
+            elif (
+                member.status is Status.DEAD and age >= _DEAD_RETENTION_SECONDS
+            ):
                 del self._members[member.name]
-                self._doubtful.discard(member.name)
+                self._unhealthy.discard(member.name)
                 self._changed.pop(member.name, None)
                 self._sends_left.pop(member.name, None)
 
-    # News
+    # Updates
 
-    def _spread(self, member: Member) -> None:
+    def _enqueue_update(self, member: Member) -> None:
         count = max(len(self._members), 2)
-        self._sends_left[member.name] = _RETRANSMIT * math.ceil(
+        self._sends_left[member.name] = _RETRANSMIT_FACTOR * math.ceil(
             math.log2(count) + 1
         )
 
@@ -339,22 +358,25 @@
         probe: Probe,
         seq: int,
         subject: str = "",
-        about: str = "",
-    ) -> Out:
-        news = self._take_news(about)
-        return Out(address, Message(probe, seq, self.me.name, news, subject))
+        recipient: str = "",
+    ) -> Outgoing:
+        news = self._select_updates(recipient)
+        return Outgoing(
+            address, Message(probe, seq, self.me.name, news, subject)
+        )
 
-    def _take_news(self, about: str) -> tuple[Member, ...]:
+    def _select_updates(self, recipient: str) -> tuple[Member, ...]:
         fresh = sorted(self._sends_left, key=lambda n: -self._sends_left[n])
-        chosen = fresh[:_NEWS_PER_MESSAGE]
+        chosen = fresh[:_MAX_UPDATES_PER_MESSAGE]
         for name in chosen:
             self._sends_left[name] -= 1
             if self._sends_left[name] <= 0:
                 del self._sends_left[name]
-        # The sender itself always rides along: it proves that it lives. So
-        # does word of the receiver's own death or suspicion, to be refuted.
-        if about in self._members:
-            chosen.append(about)
+        # Each message carries the sender's own state, which shows that it is
+        # alive, and the recipient's state as known here, so that the recipient
+        # can refute a suspicion or its death.
+        if recipient in self._members:
+            chosen.append(recipient)
         news = {n: self._members[n] for n in chosen if n in self._members}
         news[self.me.name] = self.me
         return tuple(news.values())
--- a/src/wayslip/decisions/suspicion.py
+++ b/src/wayslip/decisions/suspicion.py
@@ -1,17 +1,18 @@
-"""Which requests end the endpoints that run them, judged by their content.
-
-When an endpoint ends, whatever was on its way there is a suspect, and most of
-it is innocent: some eighteen requests of which one did it. What is known is a
-set of marks, each one content on its way to one start of an endpoint that
-ended. A content that an endpoint answered is cleared of its marks. Marks and
-clearings are merged by union, so instances that heard the same in any order,
-twice or in parts agree.
-
-Two things speak against a content. How deep it is in suspicion, counted along
-a chain: a mark goes on from what its sender knew when it sent the request. And
-how many attempts at it broke off with an endpoint, under way together or not,
-unless endpoints were seen to answer it before: a common request is on its way
-to each endpoint that ends.
+"""Detects poison requests, which crash endpoints, by their content.
+
+When an endpoint crashes, all contents in flight there are suspects, typically
+about eighteen of which one caused the crash. The state is a set of crash
+records: each says that one content was in flight to one incarnation of an
+endpoint when it crashed. When an endpoint answers a content, the content's
+crash records are cleared. Records and clearings are merged by union, so
+instances that received the same ones agree, whatever the order or repeats.
+
+Two criteria count against a content. The first is its suspicion depth: a
+record is one deeper than the depth that its sender knew when it sent the
+request, so the depth counts consecutive retries that ended in a crash. The
+second is the number of attempts that were aborted by crashes, concurrent or
+not. The second does not apply to contents that endpoints answered before: a
+common content is in flight to every endpoint that crashes.
 """
 
 from collections.abc import Iterable
@@ -19,37 +20,38 @@
 
 from wayslip.decisions import fleet
 
-# A content is condemned when so many attempts at it broke off with endpoints,
-# when it is this deep in suspicion, or one less if it alone was on its way to
-# those that ended.
-_CONDEMNED_ATTEMPTS = 3
-_CONDEMNED_DEPTH = 3
-_ALONE_DEPTH = 2
-# What is condemned after one end only is tried again after this, seconds, and
-# so many times as late for each further step: so long a common request can be
-# refused that is on its way to endpoints which end before any was answered.
-_TRIAL_SECONDS = 30.0
-_TRIAL_FACTOR = 4
-# How long a mark is kept, seconds: whoever asks again and again for longer
-# waits in between, and an engine may be mended meanwhile.
-KEPT_SECONDS = 600.0
-# Contents that are remembered, those under least suspicion go first. Each takes
-# some 300 bytes.
-_CONTENTS_MOST = 4000
+# A content is blocked after this number of attempts aborted by crashes, or at
+# this suspicion depth; at one depth less if no other content of that depth was
+# in flight to the same crashed endpoints.
+_BLOCKING_ATTEMPTS = 3
+_BLOCKING_DEPTH = 3
+_SOLE_SUSPECT_DEPTH = 2
+# A content blocked at depth 1 may be probed after this time, multiplied by the
+# factor for each further depth. This bounds how long a harmless content is
+# refused that was in flight to crashing endpoints before any answered it.
+_PROBE_SECONDS = 30.0
+_PROBE_FACTOR = 4
+# Retention of crash records: callers that retry for longer pause in between,
+# and an engine may have been fixed by then.
+RETENTION_SECONDS = 600.0
+# Maximum number of contents kept; those of the lowest depth are evicted first.
+# Each takes about 300 bytes.
+_MAX_CONTENTS = 4000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashRecord:
-    """A content that was on its way to an endpoint that ended.
+    """Records that a content was in flight to an endpoint when it crashed.
 
     Attributes:
-        content: Its digest; see `contents`.
-        endpoint, born: The start that ended; see `fleet.Start`.
-        depth: How deep the content was in suspicion, as far as its sender
-            knew when it sent it.
-        reporter: The instance that sent it.
-        attempts: Of that instance that broke off with this end; 0 where it
-            has seen the content answered.
+        content: Digest of the content; see `contents`.
+        endpoint: Name of the endpoint that crashed.
+        born: Start time of its crashed incarnation; see `fleet.Start`.
+        depth: Suspicion depth of the content that its sender knew when it
+            sent the request.
+        reporter: The instance that sent the request.
+        attempts: Attempts of that instance that this crash aborted; 0 if the
+            instance saw the content answered before.
     """
 
     content: bytes
@@ -61,17 +63,17 @@
 
     @property
     def start(self) -> fleet.Start:
-        """What ended."""
+        """The incarnation that crashed."""
         return fleet.Start(self.endpoint, self.born)
 
 
 @dataclasses.dataclass
 class _Suspect:
-    """What is known of one content.
+    """The state of one content.
 
     Attributes:
-        since: When its first mark came.
-        crash_records: By the start that ended, and the witness.
+        since: When its first crash record was received.
+        crash_records: Records by crashed incarnation and reporter.
     """
 
     since: float
@@ -81,112 +83,119 @@
 
     @property
     def depth(self) -> int:
-        """How often it was tried again after an end, and the first time."""
+        """Length of the longest chain of attempts that each met a crash."""
         deepest = max((m.depth for m in self.list_crash_records()), default=-1)
-        # A mark may go on from one that was cleared since.
+        # The depth of a record may count records that were cleared since.
         return min(1 + deepest, len(self.crash_records))
 
     @property
     def attempts(self) -> int:
-        """How many attempts broke off with endpoints."""
+        """Number of attempts that were aborted by crashes."""
         return sum(m.attempts for m in self.list_crash_records())
 
     def list_crash_records(self) -> list[CrashRecord]:
-        """Returns its marks, those of one start together."""
+        """Returns its crash records, grouped by incarnation."""
         return [
-            mark
-            for _, told in sorted(self.crash_records.items())
-            for _, mark in sorted(told.items())
+            record
+            for _, by_reporter in sorted(self.crash_records.items())
+            for _, record in sorted(by_reporter.items())
         ]
 
-    def add(self, mark: CrashRecord) -> bool:
-        """Takes a mark in; returns whether it was news."""
-        told = self.crash_records.setdefault(mark.start, {})
-        known = told.get(mark.reporter)
+    def add(self, record: CrashRecord) -> bool:
+        """Merges a crash record; returns whether it changed anything."""
+        by_reporter = self.crash_records.setdefault(record.start, {})
+        known = by_reporter.get(record.reporter)
         if known is not None:
-            mark = dataclasses.replace(
-                mark,
-                depth=max(mark.depth, known.depth),
-                attempts=max(mark.attempts, known.attempts),
+            record = dataclasses.replace(
+                record,
+                depth=max(record.depth, known.depth),
+                attempts=max(record.attempts, known.attempts),
             )
-        told[mark.reporter] = mark
-        return mark != known
+        by_reporter[record.reporter] = record
+        return record != known
 
 
 class Suspicion:
-    """All marks that an instance knows. Does no I/O and is given the time."""
+    """All crash records known to an instance.
+
+    It does no I/O; its methods take the time in seconds.
+    """
 
     def __init__(self) -> None:
         self._suspects: dict[bytes, _Suspect] = {}
         self._at_start: dict[fleet.Start, set[bytes]] = {}
-        # Contents that endpoints answered before, and since when that is known.
-        self._common: dict[bytes, float] = {}
-        # Marks that no longer count, and since when.
+        # Contents that endpoints answered before, and when that became known.
+        self._exempt: dict[bytes, float] = {}
+        # Crash records that were cleared, and when.
         self._cleared: dict[tuple[bytes, fleet.Start], float] = {}
 
     def __bool__(self) -> bool:
         """Whether any content is under suspicion."""
         return bool(self._suspects)
 
-    # What is known
+    # Queries
 
     def find_depth(self, content: bytes) -> int:
-        """Returns how deep a content is in suspicion, 0 if it is not."""
+        """Returns a content's suspicion depth, 0 if it is not a suspect."""
         suspect = self._suspects.get(content)
         return suspect.depth if suspect else 0
 
     def is_blocked(self, content: bytes) -> bool:
-        """Whether a content should reach no endpoint."""
+        """Whether a content should not be sent to any endpoint."""
         suspect = self._suspects.get(content)
         if suspect is None:
             return False
-        is_common = content in self._common
-        if suspect.attempts >= _CONDEMNED_ATTEMPTS and not is_common:
+        is_exempt = content in self._exempt
+        if suspect.attempts >= _BLOCKING_ATTEMPTS and not is_exempt:
             return True
         depth = suspect.depth
-        if depth >= _CONDEMNED_DEPTH:
+        if depth >= _BLOCKING_DEPTH:
             return True
-        return depth >= _ALONE_DEPTH and self._is_alone(content)
+        return depth >= _SOLE_SUSPECT_DEPTH and self._is_sole_suspect(content)
 
-    def _is_alone(self, content: bytes) -> bool:
-        """Whether no other content that came again shares an end with it."""
+    def _is_sole_suspect(self, content: bytes) -> bool:
+        """Whether no other retried content shares a crash with this one."""
         rivals = {
             other
             for start in self._suspects[content].crash_records
             for other in self._at_start[start]
-            if self.find_depth(other) >= _ALONE_DEPTH
+            if self.find_depth(other) >= _SOLE_SUSPECT_DEPTH
         }
         return rivals == {content}
 
-    def may_be_tried(self, content: bytes, now: float) -> bool:
-        """Whether a condemned content should be tried once more.
+    def may_probe(self, content: bytes, now: float) -> bool:
+        """Whether a probe request with a blocked content may be sent.
 
-        It may be a common one that was on its way to endpoints that ended and
-        never answered before; the deeper it is in suspicion, the later.
+        The content may be harmless and just have been in flight to crashing
+        endpoints before any answered it. The pause grows with its depth.
         """
         suspect = self._suspects.get(content)
         if suspect is None:
             return False
-        pause = _TRIAL_SECONDS * _TRIAL_FACTOR ** (suspect.depth - 1)
+        pause = _PROBE_SECONDS * _PROBE_FACTOR ** (suspect.depth - 1)
         return now - suspect.since >= pause
 
     def list_blocked(self) -> list[bytes]:
-        """Returns the contents that should reach no endpoint."""
+        """Returns the contents that should not be sent to any endpoint."""
         return [c for c in self._suspects if self.is_blocked(c)]
 
     def list_crash_records(self, content: bytes) -> list[CrashRecord]:
-        """Returns the marks of a content."""
+        """Returns the crash records of a content."""
         suspect = self._suspects.get(content)
         return suspect.list_crash_records() if suspect else []
 
-    def list_contents(self, least_depth: int) -> list[bytes]:
-        """Returns the contents that are at least so deep in suspicion."""
-        return [c for c, s in self._suspects.items() if s.depth >= least_depth]
+    def list_contents(self, min_depth: int) -> list[bytes]:
+        """Returns the contents of at least a suspicion depth."""
+        return [c for c, s in self._suspects.items() if s.depth >= min_depth]
+
+    def list_to_share(self, since: float) -> list[bytes]:
+        """Returns the contents that all instances should know.
 
-    def list_open(self, since: float) -> list[bytes]:
-        """Returns the contents that all should know of.
+        These are the contents first recorded at or after a time, those with a
+        suspicion depth above 1, and the blocked ones.
 
-        Those first seen later, those that came again, and the condemned.
+        Args:
+            since: The time.
         """
         return [
             c
@@ -195,72 +204,76 @@
         ]
 
     def list_cleared(self) -> list[CrashRecord]:
-        """Returns the marks that no longer count."""
+        """Returns the cleared crash records."""
         return [CrashRecord(c, s.endpoint, s.born) for c, s in self._cleared]
 
     def find_left(self, content: bytes, now: float) -> float:
-        """Returns the seconds until what is known of a content is forgotten."""
+        """Returns the seconds until the records of a content expire."""
         suspect = self._suspects.get(content)
         if suspect is None:
             return 0.0
-        return max(suspect.since + KEPT_SECONDS - now, 0.0)
+        return max(suspect.since + RETENTION_SECONDS - now, 0.0)
 
-    # What comes to be known
+    # Updates
 
     def add(
         self, crash_records: Iterable[CrashRecord], now: float
     ) -> list[CrashRecord]:
-        """Takes marks in; returns those that are news."""
-        news = []
-        for mark in crash_records:
-            if (mark.content, mark.start) in self._cleared:
+        """Merges crash records; returns those that were new."""
+        added = []
+        for record in crash_records:
+            if (record.content, record.start) in self._cleared:
                 continue
-            suspect = self._suspects.setdefault(mark.content, _Suspect(now))
-            if suspect.add(mark):
-                self._at_start.setdefault(mark.start, set()).add(mark.content)
-                news.append(mark)
-        self._keep_bounds()
-        return news
+            suspect = self._suspects.setdefault(record.content, _Suspect(now))
+            if suspect.add(record):
+                self._at_start.setdefault(record.start, set()).add(
+                    record.content
+                )
+                added.append(record)
+        self._enforce_limits()
+        return added
 
     def clear(
         self, crash_records: Iterable[CrashRecord], now: float
     ) -> list[CrashRecord]:
-        """Has marks count no longer; returns those for which that is news."""
-        news = []
-        for mark in crash_records:
-            key = (mark.content, mark.start)
+        """Clears crash records; returns those that were not cleared yet."""
+        added = []
+        for record in crash_records:
+            key = (record.content, record.start)
             if key in self._cleared:
                 continue
             self._cleared[key] = now
-            self._drop(mark.content, mark.start)
-            news.append(mark)
-        self._keep_bounds()
-        return news
+            self._drop(record.content, record.start)
+            added.append(record)
+        self._enforce_limits()
+        return added
 
     def exempt(self, contents: Iterable[bytes], now: float) -> list[bytes]:
-        """Notes contents that endpoints answered before.
+        """Records contents that endpoints answered before.
 
-        Only what they are deep in suspicion for counts against them.
+        They are blocked by their suspicion depth only, not by the number of
+        aborted attempts.
 
         Returns:
-            Those for which that is news.
+            The contents that were not exempt yet.
         """
-        news = [c for c in contents if c not in self._common]
-        self._common.update(dict.fromkeys(news, now))
-        self._keep_bounds()
-        return news
+        added = [c for c in contents if c not in self._exempt]
+        self._exempt.update(dict.fromkeys(added, now))
+        self._enforce_limits()
+        return added
 
     def forget(self, now: float) -> bool:
-        """Forgets what was known for long enough; returns whether it did.
+        """Removes expired contents; returns whether there were any.
 
-        It is cleared, so that nobody who knew it later brings it back.
+        Their records are cleared, so that an instance that received them later
+        can not add them again.
         """
-        limit = now - KEPT_SECONDS
+        limit = now - RETENTION_SECONDS
         old = [c for c, s in self._suspects.items() if s.since <= limit]
         for content in old:
             self.clear(self.list_crash_records(content), now)
         self._cleared = {k: t for k, t in self._cleared.items() if t > limit}
-        self._common = {c: t for c, t in self._common.items() if t > limit}
+        self._exempt = {c: t for c, t in self._exempt.items() if t > limit}
         return bool(old)
 
     def _drop(self, content: bytes, start: fleet.Start) -> None:
@@ -268,30 +281,30 @@
         if suspect is None or start not in suspect.crash_records:
             return
         del suspect.crash_records[start]
-        self._leave(content, start)
+        self._unlink(content, start)
         if not suspect.crash_records:
             del self._suspects[content]
 
     def _drop_all(self, content: bytes) -> None:
         for start in self._suspects.pop(content).crash_records:
-            self._leave(content, start)
+            self._unlink(content, start)
 
-    def _leave(self, content: bytes, start: fleet.Start) -> None:
-        there = self._at_start[start]
-        there.discard(content)
-        if not there:
+    def _unlink(self, content: bytes, start: fleet.Start) -> None:
+        contents = self._at_start[start]
+        contents.discard(content)
+        if not contents:
             del self._at_start[start]
 
-    def _keep_bounds(self) -> None:
-        over = len(self._suspects) - _CONTENTS_MOST
+    def _enforce_limits(self) -> None:
+        over = len(self._suspects) - _MAX_CONTENTS
         if over > 0:
-            # Sorted is stable: of those as deep the oldest go first.
+            # The sort is stable: at equal depth the oldest are evicted first.
             ranked = sorted(
                 self._suspects, key=lambda c: self._suspects[c].depth
             )
             for content in ranked[:over]:
                 self._drop_all(content)
-        while len(self._cleared) > _CONTENTS_MOST:
+        while len(self._cleared) > _MAX_CONTENTS:
             del self._cleared[next(iter(self._cleared))]
-        while len(self._common) > _CONTENTS_MOST:
-            del self._common[next(iter(self._common))]
+        while len(self._exempt) > _MAX_CONTENTS:
+            del self._exempt[next(iter(self._exempt))]
