--- a/src/wayslip/gateway/announcements.py
+++ b/src/wayslip/gateway/announcements.py
@@ -114,7 +114,7 @@
             await asyncio.sleep(min(left, _STANDING_SECONDS))
             if self._find_standing() != told:
                 return
-            if self._accounts.is_news(self._told_levels):
+            if self._accounts.should_announce(self._told_levels):
                 return
 
     def _find_standing(self) -> tuple[bool, bool]:
@@ -128,7 +128,7 @@
         """Tells the load, and how far the store is followed."""
         peers = self._members.peers()
         is_detached = self._detached_operation.is_proposed
-        self._told_levels = self._accounts.list_words()
+        self._told_levels = self._accounts.list_levels()
         state = facts.State(
             term=self._leadership.seen_term,
             revision=self._leadership.revision,
--- a/src/wayslip/gateway/claims.py
+++ b/src/wayslip/gateway/claims.py
@@ -45,7 +45,7 @@
         self._returned_until = 0.0
         store.on_return(self._note_return)
 
-    def hear(self, endpoint: str, revision: int) -> None:
+    def note_revision(self, endpoint: str, revision: int) -> None:
         """Takes in a claim's revision as its holder tells it."""
         seen = self.known.get(endpoint)
         if seen is not None and seen.revision >= revision:
@@ -101,7 +101,7 @@
             clock.now(),
         )
 
-    async def drop(self, endpoint: str) -> None:
+    async def remove(self, endpoint: str) -> None:
         """Removes the claim of an engine that is gone."""
         seen = self.known.pop(endpoint, None)
         if seen is None:
--- a/src/wayslip/gateway/daemon.py
+++ b/src/wayslip/gateway/daemon.py
@@ -404,10 +404,10 @@
         elif isinstance(message, facts.PermitResponse):
             self._permit_broker.take_answer(message)
         elif isinstance(message, facts.Suspects):
-            self._quarantine.take(message)
+            self._quarantine.apply(message)
         elif isinstance(message, facts.Report) and message.lacks_list:
             self._announcer.send_list(self._endpoints.list_all(), source)
-        self._planner.take(message, source)
+        self._planner.process(message, source)
 
     def _apply_store_progress(self, state: facts.State) -> None:
         if state.term < self.leadership.seen_term:
@@ -439,7 +439,7 @@
             "ready": self.is_ready(),
             "configuration": self.holder.version,
             "configuration_told": self._configuration_sync.distribution.told,
-            "lease": self.leadership.sight,
+            "lease": self.leadership.observed,
             "holds_lease": self.leadership.is_valid,
             "endpoints": self.view.dump(),
             "active": self._callers.active,
--- a/src/wayslip/gateway/leadership.py
+++ b/src/wayslip/gateway/leadership.py
@@ -48,7 +48,7 @@
     """This instance's part in the lease.
 
     Attributes:
-        sight: The record as last read or written.
+        observed: The record as last read or written.
         seen_term: The highest term seen; words of older ones are dropped.
     """
 
@@ -100,20 +100,20 @@
         self._is_stopping = False
         self._valid_until = 0.0
         self._renewal_timeout = renewal_timeout.RenewalTimeout()
-        self.sight: lease.ObservedLease | None = None
+        self.observed: lease.ObservedLease | None = None
 
     # What others ask
 
     @property
     def seen_term(self) -> int:
         """The highest term that was seen; our own while we hold the lease."""
-        term = self.sight.lease.term if self.sight else 0
+        term = self.observed.lease.term if self.observed else 0
         return max(term, self._highest_term)
 
     @property
     def revision(self) -> int:
         """Of the record as last read or written."""
-        return self.sight.revision if self.sight else 0
+        return self.observed.revision if self.observed else 0
 
     @property
     def is_held(self) -> bool:
@@ -125,17 +125,17 @@
         """Whether another instance held the lease before our term."""
         return self._follows_another
 
-    def hear(self, revision: int) -> None:
+    def note_renewal(self, revision: int) -> None:
         """Takes in the revision of the holder's last renewal, from itself.
 
         A follower that knows since when the record has stood can take an
         expired lease without watching the record for that time first.
         """
-        if self.sight is None or self._is_held:
+        if self.observed is None or self._is_held:
             return
-        if revision > self.sight.revision:
-            self.sight = lease.ObservedLease(
-                self.sight.lease, revision, clock.now()
+        if revision > self.observed.revision:
+            self.observed = lease.ObservedLease(
+                self.observed.lease, revision, clock.now()
             )
             # The store is back, for the holder at least. Who needs to know
             # whether it answers us too will have us ask it again.
@@ -144,12 +144,12 @@
 
     def receive_detached(self, term: int) -> None:
         """Takes in that the holder lives and goes on without the store."""
-        if self.sight is None or self._is_held:
+        if self.observed is None or self._is_held:
             return
         if self._yielded_term == term:
             self._yielded_term = 0
-        self.sight = lease.ObservedLease(
-            self.sight.lease, self.sight.revision, clock.now()
+        self.observed = lease.ObservedLease(
+            self.observed.lease, self.observed.revision, clock.now()
         )
 
     def receive_yield(self, term: int) -> None:
@@ -168,12 +168,12 @@
         told = lease.Lease("", address, term)
         self._may_retake = False
         self._highest_term = max(self.seen_term, term)
-        self.sight = lease.ObservedLease(told, revision, clock.now())
+        self.observed = lease.ObservedLease(told, revision, clock.now())
 
     @property
     def holder_address(self) -> str | None:
         """Where the holder hears its peers, None if nobody is known."""
-        return self.sight.lease.address if self.sight else None
+        return self.observed.lease.address if self.observed else None
 
     @property
     def is_renewal_overdue(self) -> bool:
@@ -194,7 +194,7 @@
             and clock.now() < self._valid_until
         )
 
-    def ask(self) -> None:
+    def request_check(self) -> None:
         """Has the lease looked at, because its holder is silent."""
         self._asked.set()
 
@@ -218,7 +218,7 @@
             return
         # A holder whose lease ran out goes on writing: if that succeeds on
         # the old revision, nobody has taken the lease meanwhile.
-        is_answered = self.is_valid and not self._renewal_timeout.is_any
+        is_answered = self.is_valid and not self._renewal_timeout.is_pending
         pause = lease.RENEWAL_SECONDS if is_answered else _REPEAT_SECONDS
         if self._renewal_timeout.has_expired:
             pause = _DOUBTFUL_SECONDS
@@ -277,27 +277,30 @@
                     self._lose_with_writes()
                 return None
             self._note(stored, began)
-            return self.sight
+            return self.observed
 
     def _note(
         self, stored: store_module.Stored[lease.Lease], began: float
     ) -> None:
         """Takes in a record that was read, which may be an own late write."""
-        if self.sight is not None and stored.revision < self.sight.revision:
+        if (
+            self.observed is not None
+            and stored.revision < self.observed.revision
+        ):
             # An old answer, or one that the holder's word has overtaken.
             return
         self._highest_term = self.seen_term
-        sight = lease.observe_lease(
-            self.sight, stored.value, stored.revision, clock.now()
+        observed = lease.observe_lease(
+            self.observed, stored.value, stored.revision, clock.now()
         )
-        self.sight = sight
+        self.observed = observed
         if not self._is_held:
             return
         is_ours = (
-            sight.lease.holder == self._options.name
-            and sight.lease.term == self._own_term
+            observed.lease.holder == self._options.name
+            and observed.lease.term == self._own_term
         )
-        if not is_ours and sight.lease.term < self._own_term:
+        if not is_ours and observed.lease.term < self._own_term:
             self._lose_with_writes()
             return
         if not is_ours:
@@ -321,15 +324,15 @@
             return
         # An old record is harmless: it is written over only if it is the
         # newest still.
-        sight = await self._read(may_be_stale=True)
-        if sight is None:
+        observed = await self._read(may_be_stale=True)
+        if observed is None:
             await self._take(None)
             return
-        is_free = self._yielded_term == sight.lease.term or lease.may_take(
-            sight, self._options.name, clock.now()
+        is_free = self._yielded_term == observed.lease.term or lease.may_take(
+            observed, self._options.name, clock.now()
         )
         if is_free:
-            await self._take(sight)
+            await self._take(observed)
             return
         await asyncio.sleep(_LOOK_SECONDS)
         # Unless the holder was heard meanwhile, whoever watches it asks again.
@@ -340,10 +343,10 @@
         A record with an earlier term is of the copy, and its holder does not
         hold the lease any more.
         """
-        sight = await self._read()
+        observed = await self._read()
         self._may_retake = False
-        if sight is None or sight.lease.term < self.seen_term:
-            await self._take(sight)
+        if observed is None or observed.lease.term < self.seen_term:
+            await self._take(observed)
 
     async def _wait_until_free(self) -> None:
         """Waits until a silent holder's lease has run out, if it is known when.
@@ -362,20 +365,20 @@
 
     def _find_rest(self) -> float:
         """Returns the seconds until another holder's lease can be taken."""
-        if self.sight is None or self._is_cut_off:
+        if self.observed is None or self._is_cut_off:
             return 0.0
-        if self._yielded_term == self.sight.lease.term:
+        if self._yielded_term == self.observed.lease.term:
             return 0.0
         return lease.seconds_until_free(
-            self.sight, self._options.name, clock.now()
+            self.observed, self._options.name, clock.now()
         )
 
     def _is_heard_again(self) -> bool:
         """Whether a holder spoke while we let others go first."""
         return (
-            self.sight is not None
-            and self._yielded_term != self.sight.lease.term
-            and clock.now() - self.sight.since < lease.HOLD_SECONDS
+            self.observed is not None
+            and self._yielded_term != self.observed.lease.term
+            and clock.now() - self.observed.since < lease.HOLD_SECONDS
         )
 
     async def _let_others_go_first(self) -> None:
@@ -384,12 +387,12 @@
         handicap += _LINK_HANDICAP_SECONDS / (1.0 + link / _LINK_HALF)
         await asyncio.sleep(handicap + random.uniform(0, _SPREAD_SECONDS))
 
-    async def _take(self, sight: lease.ObservedLease | None) -> None:
+    async def _take(self, observed: lease.ObservedLease | None) -> None:
         began = clock.now()
         era = self._store.era
         term = lease.next_term(self.seen_term, era)
         mine = lease.Lease(self._options.name, self._options.peers, term)
-        if sight is None:
+        if observed is None:
             stored = await self._store.create(self._kind, NAME, mine)
             if position.find_era(stored.revision) != era:
                 raise errors.ObjectConflictError(
@@ -397,12 +400,12 @@
                 )
         else:
             stored = await self._store.replace(
-                self._kind, store_module.Stored(NAME, sight.revision, mine)
+                self._kind, store_module.Stored(NAME, observed.revision, mine)
             )
         self._follows_another = (
-            sight is not None and sight.lease.holder != self._options.name
+            observed is not None and observed.lease.holder != self._options.name
         )
-        self.sight = lease.ObservedLease(mine, stored.revision, clock.now())
+        self.observed = lease.ObservedLease(mine, stored.revision, clock.now())
         self._own_term = mine.term
         self._renewal_timeout.end()
         self._is_held = True
@@ -422,30 +425,32 @@
             # record by now, and would write over that.
             if not self._is_held:
                 return
-            assert self.sight is not None
+            assert self.observed is not None
             began = clock.now()
-            mine = self.sight.lease.renew()
+            mine = self.observed.lease.renew()
             self._renewal_timeout.begin()
             stored = await self._store.replace(
                 self._kind,
-                store_module.Stored(NAME, self.sight.revision, mine),
+                store_module.Stored(NAME, self.observed.revision, mine),
                 _ANSWER_SECONDS,
             )
             self._renewal_timeout.end()
-            self.sight = lease.ObservedLease(mine, stored.revision, clock.now())
+            self.observed = lease.ObservedLease(
+                mine, stored.revision, clock.now()
+            )
             self._valid_until = began + lease.HOLD_SECONDS
 
     async def release(self) -> None:
         """Gives the lease back at a planned stop."""
         self._is_stopping = True
-        if not self._is_held or self.sight is None:
+        if not self._is_held or self.observed is None:
             return
         try:
             async with self._lock:
-                mine = self.sight.lease.release()
+                mine = self.observed.lease.release()
                 await self._store.replace(
                     self._kind,
-                    store_module.Stored(NAME, self.sight.revision, mine),
+                    store_module.Stored(NAME, self.observed.revision, mine),
                 )
         except errors.ObjectError as e:
             logs.event(
--- a/src/wayslip/gateway/order_sender.py
+++ b/src/wayslip/gateway/order_sender.py
@@ -80,7 +80,7 @@
                 reason=e.reason,
             )
             return None
-        is_new = tracked_engine.take_state(state, clock.now())
+        is_new = tracked_engine.apply_report(state, clock.now())
         logs.event(
             _LOG,
             "report",
@@ -250,9 +250,9 @@
         if outcome is outcomes.TAKEN:
             tracked_engine.note_taken(pending, now)
         elif outcome is outcomes.HELD and _is_adapters_unload(pending):
-            tracked_engine.note_dropped(pending, now)
+            tracked_engine.note_unloaded(pending, now)
         else:
-            tracked_engine.note_unclear()
+            tracked_engine.note_uncertain()
         if outcome is outcomes.BUSY:
             # A report of the same moment would tell the same count again.
             tracked_engine.rests_until = max(
--- a/src/wayslip/gateway/placement.py
+++ b/src/wayslip/gateway/placement.py
@@ -201,7 +201,7 @@
         while True:
             left = self._heard + _SILENCE_SECONDS - clock.now()
             if left <= 0:
-                self._leadership.ask()
+                self._leadership.request_check()
             await asyncio.sleep(max(left, _LOOK_SECONDS))
 
     async def _wait_to_report(self) -> None:
@@ -284,7 +284,7 @@
         if not state.is_holder:
             self._leadership.receive_yield(state.term)
             return
-        self._leadership.hear(state.revision)
+        self._leadership.note_renewal(state.revision)
         if state.is_detached:
             self._leadership.receive_detached(state.term)
         self._heard = clock.now()
--- a/src/wayslip/gateway/planner.py
+++ b/src/wayslip/gateway/planner.py
@@ -161,13 +161,15 @@
 
     # Hearing and telling
 
-    def take(self, message: facts.Message, source: hub_module.Address) -> None:
+    def process(
+        self, message: facts.Message, source: hub_module.Address
+    ) -> None:
         """Takes in what an instance tells or asks for."""
         if not self._leadership.is_held:
             self._take_statement(message)
         elif isinstance(message, facts.Report):
             self.members.take(message, source, self._held)
-            self._accounts.take(message)
+            self._accounts.record_report(message)
         elif isinstance(message, facts.ItemRequest):
             self._take_want(message, source)
 
@@ -210,7 +212,9 @@
             if message.peers:
                 self.members.adopt_peers(message.peers)
             for claim in message.claims:
-                self._order_sender.claims.hear(claim.endpoint, claim.revision)
+                self._order_sender.claims.note_revision(
+                    claim.endpoint, claim.revision
+                )
         elif isinstance(message, facts.PlacementUpdate):
             self._take_arrivals(message)
 
@@ -270,13 +274,13 @@
                     tracked.endpoint
                 )
                 tracked_engines[name] = tracked_engine
-                tracked_engine.take_entry(tracked.endpoint, now)
+                tracked_engine.apply_entry(tracked.endpoint, now)
             elif tracked.endpoint.succeeds(tracked_engine.endpoint):
-                tracked_engines[name] = tracked_engine.begin_anew(
+                tracked_engines[name] = tracked_engine.begin_incarnation(
                     tracked.endpoint, now
                 )
             elif tracked_engine.endpoint is not tracked.endpoint:
-                tracked_engine.take_entry(tracked.endpoint, now)
+                tracked_engine.apply_entry(tracked.endpoint, now)
 
     def _drop_claims(self) -> None:
         """Removes the claims of engines that will not come back.
@@ -288,7 +292,7 @@
         old = [n for n, at in self._missing_since.items() if at < limit]
         for name in old:
             del self._missing_since[name]
-            self._background_tasks.start(self._order_sender.claims.drop(name))
+            self._background_tasks.start(self._order_sender.claims.remove(name))
 
     def _plan(self) -> None:
         manifest = self._holder.manifest
--- a/src/wayslip/gateway/quarantine.py
+++ b/src/wayslip/gateway/quarantine.py
@@ -123,7 +123,7 @@
         """Whether a content should reach no endpoint."""
         return self._suspicion.is_blocked(content)
 
-    def begin_trial(self, content: bytes) -> bool:
+    def begin_probe(self, content: bytes) -> bool:
         """Returns whether a condemned content is to be sent once more now.
 
         Only the lease's holder tries, so that one endpoint at most ends.
@@ -286,7 +286,7 @@
 
     # Between instances
 
-    def take(self, told: facts.Suspects) -> None:
+    def apply(self, told: facts.Suspects) -> None:
         """Takes in what another instance tells."""
         now = clock.now()
         self._suspicion.clear(told.cleared, now)
--- a/src/wayslip/gateway/quota_accounts.py
+++ b/src/wayslip/gateway/quota_accounts.py
@@ -82,7 +82,7 @@
         for name, word in self._limiter.words.items():
             self._demand.set(name, word.demand, now)
 
-    def take(self, report: facts.Report) -> None:
+    def record_report(self, report: facts.Report) -> None:
         """Takes in an instance's sums."""
         now = clock.now()
         member = self._members.get(report.instance)
@@ -146,7 +146,7 @@
             if o.quota.is_limited
         }
 
-    def list_words(self) -> tuple[facts.Level, ...]:
+    def list_levels(self) -> tuple[facts.Level, ...]:
         """Returns what is told of the levels now."""
         now = clock.now()
         self._charge_silent(now)
@@ -168,7 +168,7 @@
         found.sort(key=lambda pair: pair[0])
         return tuple(level for _, level in found[:_WORDS_MOST])
 
-    def is_news(self, told: Iterable[facts.Level]) -> bool:
+    def should_announce(self, told: Iterable[facts.Level]) -> bool:
         """Whether an organisation has come to its limit since that was told."""
         now = clock.now()
         before = {level.organisation: level.level for level in told}
--- a/src/wayslip/gateway/renewal_timeout.py
+++ b/src/wayslip/gateway/renewal_timeout.py
@@ -24,7 +24,7 @@
         self.has_expired = False
 
     @property
-    def is_any(self) -> bool:
+    def is_pending(self) -> bool:
         """Whether a renewal is under way or was not answered."""
         return self._timer is not None
 
@@ -32,9 +32,9 @@
         """Begins with a renewal, unless an earlier one is unanswered."""
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(_DOUBT_SECONDS, self.worsen)
+            self._timer = loop.call_later(_DOUBT_SECONDS, self.expire)
 
-    def worsen(self) -> None:
+    def expire(self) -> None:
         """Has the lease yielded, because its renewals are not answered."""
         self.has_expired = True
         logs.event(_LOG, "lease_doubtful", logging.WARNING)
--- a/src/wayslip/gateway/requests.py
+++ b/src/wayslip/gateway/requests.py
@@ -234,7 +234,7 @@
             return True
         if not self._quarantine.is_blocked(job.content):
             return True
-        job.is_trial = job.is_trial or self._quarantine.begin_trial(job.content)
+        job.is_trial = job.is_trial or self._quarantine.begin_probe(job.content)
         if job.is_trial and not job.progress.attempts:
             return True
         if job.relayed or job.progress.may_have_run:
--- a/src/wayslip/gateway/tracked_engines.py
+++ b/src/wayslip/gateway/tracked_engines.py
@@ -123,7 +123,7 @@
 
     # What tells it
 
-    def take_entry(self, endpoint: fleet.Endpoint, now: float) -> None:
+    def apply_entry(self, endpoint: fleet.Endpoint, now: float) -> None:
         """Takes in the engine's entry in the list."""
         self.endpoint = endpoint
         self.listed_at = now
@@ -131,7 +131,7 @@
         self._forget_withdrawn()
         self.changed.set()
 
-    def take_state(self, state: fleet.EngineState, now: float) -> bool:
+    def apply_report(self, state: fleet.EngineState, now: float) -> bool:
         """Takes in a report; returns whether it was new enough."""
         if not self._is_of_this_start(state):
             # Until the entry of a later start comes, nothing that is planned
@@ -177,7 +177,7 @@
         self.unanswered = [(o, at) for o, at in self.unanswered if at > limit]
         self.unanswered.append((order, now))
 
-    def begin_anew(
+    def begin_incarnation(
         self, endpoint: fleet.Endpoint, now: float
     ) -> "TrackedEngine":
         """Returns the book of the engine's next start.
@@ -192,7 +192,7 @@
             late.append((self.abandoned, now + _LATE_MOST))
         late += self.inherited
         tracked_engine = TrackedEngine(endpoint, inherited=tuple(late))
-        tracked_engine.take_entry(endpoint, now)
+        tracked_engine.apply_entry(endpoint, now)
         return tracked_engine
 
     # What follows on an order
@@ -213,7 +213,7 @@
         elif not is_load:
             self._withdraw(item)
 
-    def note_dropped(self, order: lease.Pending, now: float) -> None:
+    def note_unloaded(self, order: lease.Pending, now: float) -> None:
         """Notes that an adapter is unloaded by the time that was answered.
 
         The answer is the same where there was nothing to unload. Then no
@@ -229,7 +229,7 @@
         self._count(order, now)
         self._withdraw(item)
 
-    def note_unclear(self) -> None:
+    def note_uncertain(self) -> None:
         """Notes that only a report can tell the count of orders again."""
         self.is_certain = False
 
--- a/tests/gateway/test_deadly_requests.py
+++ b/tests/gateway/test_deadly_requests.py
@@ -317,21 +317,21 @@
 async def test_one_request_in_a_while_is_tried(system):
     await system.until(lambda: system.gateway.leadership.is_held)
     quarantine = system.gateway._quarantine
-    quarantine.take(
+    quarantine.apply(
         facts.Suspects((suspicion.CrashRecord(b"c", "e1", attempts=3),))
     )
-    assert not quarantine.begin_trial(b"c")
+    assert not quarantine.begin_probe(b"c")
     later = clock.now() + suspicion._TRIAL_SECONDS
     with mock.patch.object(clock, "now", lambda: later):
-        assert quarantine.begin_trial(b"c")
-        assert not quarantine.begin_trial(b"c")
+        assert quarantine.begin_probe(b"c")
+        assert not quarantine.begin_probe(b"c")
 
 
 @harness.run
 async def test_who_saw_it_answered_has_a_common_request_excused(system):
     quarantine = system.gateway._quarantine
     quarantine.note_answer(b"c")
-    quarantine.take(
+    quarantine.apply(
         facts.Suspects(
             (suspicion.CrashRecord(b"c", "e1", reporter="g2", attempts=3),)
         )
--- a/tests/gateway/test_detached_operation.py
+++ b/tests/gateway/test_detached_operation.py
@@ -103,7 +103,7 @@
     holder = system.gateway
     await system.until(lambda: holder.leadership.is_valid)
     # Only the holder's calls fail.
-    holder.leadership._renewal_timeout.worsen()
+    holder.leadership._renewal_timeout.expire()
     detached_operation = holder._announcer._detached_operation
     for _ in range(20):
         assert not detached_operation.is_granted
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -124,7 +124,7 @@
     await holder.leadership.release()
     others = [m for m in members if m is not holder]
     for member in others:
-        member.leadership.ask()
+        member.leadership.request_check()
     async with asyncio.timeout(lease.EXPIRY_SECONDS):
         await until(lambda: holders(others))
     assert not holder.leadership.follows_another
@@ -140,7 +140,7 @@
     await until(lambda: holders(members))
     holder = holders(members)[0]
     doubts = []
-    holder.leadership._renewal_timeout.worsen = lambda: doubts.append(1)
+    holder.leadership._renewal_timeout.expire = lambda: doubts.append(1)
     revision = holder.leadership.revision
     standin.faults.mutes_writes = 1
     await until(lambda: not standin.faults.mutes_writes)
@@ -160,7 +160,7 @@
     others = [m for m in members if m is not holder]
     await holder.leadership.release()
     for member in others:
-        member.leadership.ask()
+        member.leadership.request_check()
     await until(lambda: holders(others))
     taken = holders(others)[0].leadership
     # As its first statement tells the one before, still between renewals.
--- a/tests/gateway/test_order_sender.py
+++ b/tests/gateway/test_order_sender.py
@@ -49,7 +49,7 @@
 def make_known_book(orders, *models, at=NOW, **fields):
     """Returns a book that a report was taken into."""
     tracked_engine = make_book(*models)
-    tracked_engine.take_state(state(orders, *models, **fields), at)
+    tracked_engine.apply_report(state(orders, *models, **fields), at)
     return tracked_engine
 
 
@@ -57,16 +57,16 @@
     # A holder that took over had an entry without a model that was loaded
     # since, and ordered the engine over its memory.
     tracked_engine = make_book("m1")
-    assert tracked_engine.take_state(state(3, "m1", "m2"), NOW)
+    assert tracked_engine.apply_report(state(3, "m1", "m2"), NOW)
     assert tracked_engine.charged() == {M1, M2}
-    tracked_engine.take_entry(tracked_engine.endpoint, NOW)
+    tracked_engine.apply_entry(tracked_engine.endpoint, NOW)
     assert tracked_engine.charged() == {M1, M2}
 
 
 def test_old_report_is_not_believed():
     tracked_engine = make_known_book(2, "m1")
     tracked_engine.note_taken(load(2, M2), NOW)
-    assert not tracked_engine.take_state(state(2, "m1"), NOW + 1)
+    assert not tracked_engine.apply_report(state(2, "m1"), NOW + 1)
     assert tracked_engine.charged() == {M1, M2}
     assert tracked_engine.inventory.orders == 3
 
@@ -74,7 +74,7 @@
 def test_report_that_stays_behind_corrects_the_count():
     tracked_engine = make_known_book(2, "m1")
     tracked_engine.note_taken(load(2, M2), NOW)
-    assert tracked_engine.take_state(state(2, "m1"), NOW + 10)
+    assert tracked_engine.apply_report(state(2, "m1"), NOW + 10)
     assert tracked_engine.is_certain
     assert tracked_engine.inventory.orders == 2
 
@@ -86,8 +86,8 @@
     old = tracked_engine.endpoint
     tracked_engine.note_taken(load(2, M2), NOW)
     listed = {"m1": frozenset(), "m2": frozenset()}
-    tracked_engine.take_entry(dataclasses.replace(old, models=listed), NOW)
-    tracked_engine.take_entry(old, NOW)
+    tracked_engine.apply_entry(dataclasses.replace(old, models=listed), NOW)
+    tracked_engine.apply_entry(old, NOW)
     assert M2 in tracked_engine.charged()
 
 
@@ -99,7 +99,7 @@
     old = dataclasses.replace(
         tracked_engine.endpoint, models={"m1": frozenset()}
     )
-    tracked_engine.take_entry(old, NOW)
+    tracked_engine.apply_entry(old, NOW)
     assert M2 in tracked_engine.charged()
 
 
@@ -107,7 +107,7 @@
     # Victims that were not there were ordered away, and counted wrongly.
     tracked_engine = make_known_book(2, "m1")
     listed = {"m1": frozenset(), "m2": frozenset()}
-    tracked_engine.take_entry(
+    tracked_engine.apply_entry(
         dataclasses.replace(tracked_engine.endpoint, models=listed), NOW
     )
     assert tracked_engine.charged() == {M1}
@@ -117,12 +117,12 @@
 def test_load_is_charged_until_it_shows():
     tracked_engine = make_known_book(0, "m1")
     tracked_engine.note_taken(load(0, M2), NOW)
-    tracked_engine.take_entry(tracked_engine.endpoint, NOW)
+    tracked_engine.apply_entry(tracked_engine.endpoint, NOW)
     assert M2 in tracked_engine.charged()
-    assert tracked_engine.take_state(state(1, "m1", is_busy=True), NOW)
+    assert tracked_engine.apply_report(state(1, "m1", is_busy=True), NOW)
     assert M2 in tracked_engine.charged()
     assert not tracked_engine.holds(M2)
-    tracked_engine.take_state(state(1, "m1", "m2"), NOW)
+    tracked_engine.apply_report(state(1, "m1", "m2"), NOW)
     assert not tracked_engine.added
     assert tracked_engine.holds(M2)
 
@@ -133,7 +133,7 @@
     assert M2 in tracked_engine.charged()
     assert M2 not in tracked_engine.usable()
     assert not tracked_engine.lacks(M2)
-    tracked_engine.take_state(state(1, "m1"), NOW)
+    tracked_engine.apply_report(state(1, "m1"), NOW)
     assert tracked_engine.charged() == {M1}
     assert tracked_engine.lacks(M2)
 
@@ -157,31 +157,31 @@
 def test_answer_that_an_adapter_is_unloaded_is_believed_of_what_was_there():
     a7 = ("m1", "a7")
     tracked_engine = make_known_book(1, "m1", coming=frozenset({a7}))
-    tracked_engine.note_dropped(unload(1, a7), NOW)
+    tracked_engine.note_unloaded(unload(1, a7), NOW)
     assert not tracked_engine.is_certain
     assert a7 in tracked_engine.charged()
 
 
 def test_engine_that_loads_for_a_holder_before_us_is_not_known():
     tracked_engine = make_book("m1")
-    tracked_engine.take_state(state(1, "m1", is_busy=True), NOW)
+    tracked_engine.apply_report(state(1, "m1", is_busy=True), NOW)
     assert not tracked_engine.is_certain
-    tracked_engine.take_state(state(1, "m1", "m2"), NOW)
+    tracked_engine.apply_report(state(1, "m1", "m2"), NOW)
     assert tracked_engine.is_certain
 
 
 def test_engine_that_turns_busy_with_another_order_is_not_known_any_more():
     # What it loads is shown by nobody, and its count is told all the same.
     tracked_engine = make_known_book(1, "m1")
-    tracked_engine.take_state(state(2, "m1", is_busy=True), NOW)
+    tracked_engine.apply_report(state(2, "m1", is_busy=True), NOW)
     assert not tracked_engine.is_certain
 
 
 def test_report_of_before_a_load_does_not_replace_one_of_after():
     tracked_engine = make_known_book(0, "m1")
     tracked_engine.note_taken(load(0, M2), NOW)
-    tracked_engine.take_state(state(1, "m1", "m2"), NOW)
-    tracked_engine.take_state(state(1, "m1", is_busy=True), NOW)
+    tracked_engine.apply_report(state(1, "m1", "m2"), NOW)
+    tracked_engine.apply_report(state(1, "m1", is_busy=True), NOW)
     assert tracked_engine.holds(M2)
 
 
@@ -191,7 +191,7 @@
     tracked_engine = make_known_book(0, "m1")
     tracked_engine.note_taken(load(0, M2), NOW)
     assert M2 not in tracked_engine.usable()
-    tracked_engine.take_state(state(1, "m1", "m2"), NOW)
+    tracked_engine.apply_report(state(1, "m1", "m2"), NOW)
     assert M2 in tracked_engine.usable()
 
 
@@ -371,7 +371,7 @@
 
 @with_engine
 async def test_orders_of_another_count_are_refused_and_learned(fixture):
-    fixture.tracked_engine.take_state(state(5, "m1"), clock.now())
+    fixture.tracked_engine.apply_report(state(5, "m1"), clock.now())
     outcome = await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.LOAD, M2
     )
@@ -404,7 +404,7 @@
 
 @with_engine
 async def test_engine_that_refused_an_order_rests(fixture):
-    fixture.tracked_engine.take_state(state(5, "m1"), clock.now())
+    fixture.tracked_engine.apply_report(state(5, "m1"), clock.now())
     now = clock.now()
     await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.LOAD, M2
--- a/tests/stateful/quota_world.py
+++ b/tests/stateful/quota_world.py
@@ -203,9 +203,9 @@
         if self.holder is None:
             return
         holder = self.instances[self.holder]
-        if now >= self.state_due or holder.accounts.is_news(self.told):
+        if now >= self.state_due or holder.accounts.should_announce(self.told):
             self.state_due = now + STATE
-            self.told = holder.accounts.list_words()
+            self.told = holder.accounts.list_levels()
             for instance in self.instances:
                 self._send(holder, instance, self._make_state())
 
@@ -253,7 +253,7 @@
             _, _, target, message = heapq.heappop(self._messages)
             if isinstance(message, facts.Report):
                 if target is self.instances[self.holder or 0]:
-                    target.accounts.take(message)
+                    target.accounts.record_report(message)
             elif message.term >= target.term:
                 target.term, target.holder = message.term, message.revision
                 target.limiter.hear(message)
--- a/tests/stateful/suspect_world.py
+++ b/tests/stateful/suspect_world.py
@@ -156,7 +156,7 @@
         content = self._draw_content()
         record = self.records.setdefault(content, Record())
         quarantine = instance.gateway._quarantine
-        if quarantine.is_blocked(content) and not quarantine.begin_trial(
+        if quarantine.is_blocked(content) and not quarantine.begin_probe(
             content
         ):
             record.refused.append(self.world.now)
--- a/tests/stateful/test_order_world.py
+++ b/tests/stateful/test_order_world.py
@@ -48,7 +48,7 @@
     model = min(engine.models)
     for wait in (1.0, 1.1, 0.3, 0.3, 1.0):
         want = facts.ItemRequest("g9", "h", order_engine.SERVICE, model, "a8")
-        planner.take(want, ("10.0.1.9", 1))
+        planner.process(want, ("10.0.1.9", 1))
         await asyncio.sleep(wait)
         engine.list(old)
         await asyncio.sleep(0.1)
--- a/tests/stateful/test_restarts.py
+++ b/tests/stateful/test_restarts.py
@@ -46,11 +46,11 @@
 def test_report_of_another_start_is_not_taken_in():
     tracked_engine = tracked_engines.TrackedEngine(_NEW)
     old = fleet.EngineState(3, False, {"m1": frozenset()}, born=5)
-    assert not tracked_engine.take_state(old, 1.0)
+    assert not tracked_engine.apply_report(old, 1.0)
     assert tracked_engine.inventory is None
     later = fleet.EngineState(0, False, {}, born=12)
-    assert not tracked_engine.take_state(later, 1.0)
-    assert tracked_engine.take_state(
+    assert not tracked_engine.apply_report(later, 1.0)
+    assert tracked_engine.apply_report(
         fleet.EngineState(0, False, {}, born=9), 1.0
     )
     assert tracked_engine.is_certain
@@ -59,11 +59,11 @@
 def test_late_order_is_charged_to_the_next_start():
     tracked_engine = tracked_engines.TrackedEngine(_OLD)
     tracked_engine.note_unanswered(_LOAD, 100.0)
-    after = tracked_engine.begin_anew(_NEW, 101.0)
-    after.take_state(fleet.EngineState(0, False, {}, born=9), 101.0)
+    after = tracked_engine.begin_incarnation(_NEW, 101.0)
+    after.apply_report(fleet.EngineState(0, False, {}, born=9), 101.0)
     assert ("m2", "") in after.charged()
     # It can not be carried out any more once its count has passed.
-    after.take_state(fleet.EngineState(5, False, {}, born=9), 104.0)
+    after.apply_report(fleet.EngineState(5, False, {}, born=9), 104.0)
     assert ("m2", "") not in after.charged()
 
 
@@ -71,10 +71,10 @@
     tracked_engine = tracked_engines.TrackedEngine(_OLD)
     tracked_engine.inventory = inventory.Inventory(4, frozenset())
     tracked_engine.note_unanswered(_LOAD, 100.0)
-    after = tracked_engine.begin_anew(_NEW, 101.0)
-    after.take_state(fleet.EngineState(0, False, {}, born=9), 113.0)
+    after = tracked_engine.begin_incarnation(_NEW, 101.0)
+    after.apply_report(fleet.EngineState(0, False, {}, born=9), 113.0)
     assert ("m2", "") in after.charged()
-    after.take_state(fleet.EngineState(0, False, {}, born=9), 116.0)
+    after.apply_report(fleet.EngineState(0, False, {}, born=9), 116.0)
     assert ("m2", "") not in after.charged()
 
 
--- a/tests/stateful/test_tracked_engine_machine.py
+++ b/tests/stateful/test_tracked_engine_machine.py
@@ -116,12 +116,12 @@
     def list_follows(self, skip):
         # An old heartbeat may arrive after a newer one.
         self.entry_at = max(len(self.states) - 1 - skip, 0)
-        self.tracked_engine.take_entry(self.entry(), self.now)
+        self.tracked_engine.apply_entry(self.entry(), self.now)
 
     @stateful.rule()
     def change_holder(self):
         self.tracked_engine = tracked_engines.TrackedEngine(self.entry())
-        self.tracked_engine.take_entry(self.entry(), self.now)
+        self.tracked_engine.apply_entry(self.entry(), self.now)
         self.tracked_engine.pending = self.claimed
 
     # What a holder does
@@ -134,7 +134,7 @@
             index -= 1
             age -= 1
         state = self.states[index]
-        if not self.tracked_engine.take_state(state, self.now):
+        if not self.tracked_engine.apply_report(state, self.now):
             return
         pending = self.tracked_engine.pending
         if pending is not None and state.orders > pending.orders:
@@ -179,7 +179,7 @@
         if is_taken:
             self.settle(pending)
         else:
-            self.tracked_engine.note_unclear()
+            self.tracked_engine.note_uncertain()
 
     def fits(self, charged, model, adapter):
         if (model, adapter) in charged:
