--- a/src/wayslip/gateway/adapters.py
+++ b/src/wayslip/gateway/adapters.py
@@ -23,14 +23,14 @@
 # Time that an adapter takes to load, seconds and seconds for each megabyte,
 # twice what the users' sheets say (5 to 6.3 ms for 12 MB, 14 to 19 for 66);
 # one that the engine has held before takes a tenth.
-_SECONDS = 0.01
-_SECONDS_PER_MB = 0.00045
-_HELD_BEFORE = 0.1
+_LOAD_SECONDS = 0.01
+_LOAD_SECONDS_PER_MB = 0.00045
+_RELOAD_FACTOR = 0.1
 # An adapter that was loaded for a request is not taken away before that
 # request and its like were counted, seconds: some reports.
 _SETTLE_SECONDS = 1.0
 # An adapter in use at least so often is not taken away, requests a second.
-_IN_USE = 0.5
+_IN_USE_PER_S = 0.5
 
 LoadRequest = tuple[str, str, str]
 Starter = Callable[[Coroutine[Any, Any, None]], Any]
@@ -47,7 +47,7 @@
         announce_changes: Callable[[], None],
         notify_waiting: Callable[
             [LoadRequest, tracked_engines_module.TrackedEngine], None
-        ] = (lambda wish, tracked_engine: None),
+        ] = (lambda request, tracked_engine: None),
         notices: endpoint_notices_module.EndpointNotices | None = None,
     ) -> None:
         """Initializes without any series.
@@ -60,15 +60,15 @@
             notify_waiting: Tells those who wait for an adapter at once.
             notices: What engines said of themselves.
         """
-        self._words = notices or endpoint_notices_module.EndpointNotices()
+        self._notices = notices or endpoint_notices_module.EndpointNotices()
         self._order_sender = order_sender
         self._members = members
         self._start = start
         self._announce_changes = announce_changes
         self._notify_waiting = notify_waiting
-        self._coming: set[LoadRequest] = set()
+        self._loading: set[LoadRequest] = set()
 
-    def wish(
+    def request_load(
         self,
         service: str,
         pool: manifest.Pool,
@@ -81,25 +81,25 @@
             Whether nothing more has to be done for it: it is there, on its
             way, or of a model that nobody knows.
         """
-        wish = (service, *item)
+        request = (service, *item)
         spec = pool.models.get(item[0])
-        if spec is None or wish in self._coming:
+        if spec is None or request in self._loading:
             return True
-        there = [
+        holders = [
             b for b in tracked_engines if item in b.charged() - b.withdrawn
         ]
-        if there:
-            if item in there[0].usable():
-                self._notify_waiting(wish, there[0])
+        if holders:
+            if item in holders[0].usable():
+                self._notify_waiting(request, holders[0])
             return True
         tracked_engine = self._choose(pool, tracked_engines, item[0])
         if tracked_engine is None:
             return False
-        self._coming.add(wish)
-        self._start(self._carry_out(wish, tracked_engine, pool, spec))
+        self._loading.add(request)
+        self._start(self._carry_out(request, tracked_engine, pool, spec))
         return True
 
-    def fill(
+    def preload(
         self,
         service: str,
         pool: manifest.Pool,
@@ -107,9 +107,9 @@
     ) -> None:
         """Loads adapters that are nowhere into free places, one an engine."""
         now = clock.now()
-        anywhere = set().union(*(b.charged() for b in tracked_engines)) | {
+        placed = set().union(*(b.charged() for b in tracked_engines)) | {
             (model, adapter)
-            for name, model, adapter in self._coming
+            for name, model, adapter in self._loading
             if name == service
         }
         for tracked_engine in tracked_engines:
@@ -117,26 +117,26 @@
                 tracked_engine.endpoint.name
             )
             if (
-                self._is_in_need(tracked_engine)
+                self._is_constrained(tracked_engine)
                 or not planner_inputs.is_free(tracked_engine, may_claim, now)
                 or tracked_engine.lock.locked()
                 or planner_inputs.count_adapters(tracked_engine)
                 >= pool.adapter_slots
             ):
                 continue
-            item = self._find_missing(service, pool, tracked_engine, anywhere)
+            item = self._find_missing(service, pool, tracked_engine, placed)
             # A series that can only end at once would be started again and
             # again: it wakes the planner when it ends.
             if item is None or not _fits(
                 tracked_engine, pool, pool.models[item[0]]
             ):
                 continue
-            anywhere.add(item)
-            wish = (service, *item)
-            self._coming.add(wish)
+            placed.add(item)
+            request = (service, *item)
+            self._loading.add(request)
             self._start(
                 self._carry_out(
-                    wish, tracked_engine, pool, pool.models[item[0]], False
+                    request, tracked_engine, pool, pool.models[item[0]], False
                 )
             )
 
@@ -145,7 +145,7 @@
         service: str,
         pool: manifest.Pool,
         tracked_engine: tracked_engines_module.TrackedEngine,
-        anywhere: set[tuple[str, str]],
+        placed: set[tuple[str, str]],
     ) -> tuple[str, str] | None:
         """Returns the adapter that an engine should load ahead."""
         missing = [
@@ -153,7 +153,7 @@
             for model, held in tracked_engine.usable()
             if not held and model in pool.models
             for adapter in pool.models[model].adapters
-            if (model, adapter) not in anywhere
+            if (model, adapter) not in placed
         ]
         return max(
             missing,
@@ -173,11 +173,13 @@
             b.endpoint.name: b
             for b in tracked_engines
             if (model, "") in b.usable()
-            and planner_inputs.is_backing_off(b, now)
+            and planner_inputs.is_idle(b, now)
             and self._order_sender.claims.may_claim(b.endpoint.name)
         }
-        able = {n: b for n, b in found.items() if not self._is_in_need(b)}
-        found = able or found
+        unconstrained = {
+            n: b for n, b in found.items() if not self._is_constrained(b)
+        }
+        found = unconstrained or found
         usages = self._members.total_usages()
         name = loading.choose_adapter_engine(
             {n: planner_inputs.count_adapters(b) for n, b in found.items()},
@@ -186,26 +188,26 @@
         )
         return found[name] if name is not None else None
 
-    def _is_in_need(
+    def _is_constrained(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> bool:
         """Whether an engine takes less than it could."""
         endpoint = tracked_engine.endpoint
-        limit = self._words.find_limit(endpoint.start)
-        return limit is not None or self._words.find_backoff(endpoint) > 0
+        limit = self._notices.find_limit(endpoint.start)
+        return limit is not None or self._notices.find_backoff(endpoint) > 0
 
     async def _carry_out(
         self,
-        wish: LoadRequest,
+        request: LoadRequest,
         tracked_engine: tracked_engines_module.TrackedEngine,
         pool: manifest.Pool,
         spec: manifest.Model,
-        may_drop: bool = True,
+        may_evict: bool = True,
     ) -> None:
         try:
-            await self._load(tracked_engine, pool, spec, wish[2], may_drop)
+            await self._load(tracked_engine, pool, spec, request[2], may_evict)
         finally:
-            self._coming.discard(wish)
+            self._loading.discard(request)
 
     async def _load(
         self,
@@ -213,7 +215,7 @@
         pool: manifest.Pool,
         spec: manifest.Model,
         adapter: str,
-        may_drop: bool,
+        may_evict: bool,
     ) -> None:
         item = (spec.name, adapter)
 
@@ -221,7 +223,7 @@
             return _fits(tracked_engine, pool, spec)
 
         if not fits() and not (
-            may_drop and await self._drop_one(tracked_engine)
+            may_evict and await self._evict_one(tracked_engine)
         ):
             return
         outcome = await self._order_sender.order(
@@ -229,12 +231,12 @@
         )
         if outcome not in engines.DONE:
             return
-        seconds = _SECONDS + spec.adapter_mb * _SECONDS_PER_MB
-        if item in tracked_engine.had:
-            seconds *= _HELD_BEFORE
-        tracked_engine.had.add(item)
-        if may_drop:
-            tracked_engine.adapter_at[item] = clock.now()
+        seconds = _LOAD_SECONDS + spec.adapter_mb * _LOAD_SECONDS_PER_MB
+        if item in tracked_engine.previously_held:
+            seconds *= _RELOAD_FACTOR
+        tracked_engine.previously_held.add(item)
+        if may_evict:
+            tracked_engine.adapter_loaded_at[item] = clock.now()
         if item in tracked_engine.added:
             tracked_engine.added[item] = clock.now() + seconds
         self._notify_waiting(
@@ -242,7 +244,7 @@
         )
         self._announce_changes()
 
-    async def _drop_one(
+    async def _evict_one(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> bool:
         """Unloads the adapter that is used least; returns whether it went."""
@@ -272,9 +274,10 @@
         rates = sorted(
             (self._members.adapter_rate(service, item), item)
             for item in tracked_engine.removable()
-            if item[1] and tracked_engine.adapter_at.get(item, limit) <= limit
+            if item[1]
+            and tracked_engine.adapter_loaded_at.get(item, limit) <= limit
         )
-        if not rates or rates[0][0] > _IN_USE:
+        if not rates or rates[0][0] > _IN_USE_PER_S:
             return None
         return rates[0][1]
 
@@ -286,7 +289,7 @@
 ) -> bool:
     """Whether an engine has a place and memory for an adapter of a model."""
     total, _ = planner_inputs.sum_charges(tracked_engine, pool)
-    has_place = (
+    has_slot = (
         planner_inputs.count_adapters(tracked_engine) < pool.adapter_slots
     )
-    return has_place and total + spec.adapter_mb <= pool.weights_mb
+    return has_slot and total + spec.adapter_mb <= pool.weights_mb
--- a/src/wayslip/gateway/blocked_contents.py
+++ b/src/wayslip/gateway/blocked_contents.py
@@ -18,7 +18,7 @@
 _LOG = logging.getLogger(__name__)
 # Between attempts to read them at the start, seconds; instances that start
 # together in a large fleet take longer.
-_LEARN_SECONDS = 1.0
+_READ_RETRY_SECONDS = 1.0
 
 
 class BlockedContents:
@@ -28,7 +28,7 @@
         self,
         store: store_module.Store,
         find_pause: Callable[[float], float],
-        learn: Callable[[Iterable[suspicion.CrashRecord]], None],
+        on_read: Callable[[Iterable[suspicion.CrashRecord]], None],
     ) -> None:
         """Initializes without any object read.
 
@@ -36,11 +36,11 @@
             store: Where they are kept.
             find_pause: Returns the seconds to wait before an attempt that
                 others make too; given what one instance alone would wait.
-            learn: Is given the marks that were read.
+            on_read: Is given the marks that were read.
         """
         self._store = store
         self._find_pause = find_pause
-        self._learn = learn
+        self._on_read = on_read
         # Contents with their objects' revisions; None until they were read in
         # this term.
         self._revisions: dict[bytes, int] | None = None
@@ -65,9 +65,9 @@
                 logs.event(
                     _LOG, "suspects_not_read", logging.WARNING, reason=e.reason
                 )
-            await asyncio.sleep(self._find_pause(_LEARN_SECONDS))
+            await asyncio.sleep(self._find_pause(_READ_RETRY_SECONDS))
         for item in listing.items:
-            self._learn(item.value.crash_records)
+            self._on_read(item.value.crash_records)
 
     async def read(self) -> bool:
         """Reads them unless that was done in this term; returns whether."""
@@ -76,18 +76,18 @@
         listing = await self._store.list(records.SUSPECT)
         self._revisions = {i.value.content: i.revision for i in listing.items}
         for item in listing.items:
-            self._learn(item.value.crash_records)
+            self._on_read(item.value.crash_records)
         return True
 
-    async def keep(
+    async def sync(
         self,
-        condemned: frozenset[bytes],
+        blocked: frozenset[bytes],
         list_crash_records: Callable[[bytes], list[suspicion.CrashRecord]],
     ) -> None:
         """Brings the objects into line; they were read before.
 
         Args:
-            condemned: The contents that should be there.
+            blocked: The contents that should be there.
             list_crash_records: Returns the marks of one.
 
         Raises:
@@ -96,7 +96,7 @@
         assert self._revisions is not None
         known = self._revisions
         try:
-            for content in condemned - known.keys():
+            for content in blocked - known.keys():
                 record = records.Suspect(
                     content, tuple(list_crash_records(content))
                 )
@@ -104,7 +104,7 @@
                     records.SUSPECT, content.hex(), record
                 )
                 known[content] = stored.revision
-            for content in known.keys() - condemned:
+            for content in known.keys() - blocked:
                 await self._store.remove(
                     records.SUSPECT, content.hex(), known[content]
                 )
--- a/src/wayslip/gateway/claims.py
+++ b/src/wayslip/gateway/claims.py
@@ -39,11 +39,11 @@
         self.holds_lease: Callable[[], bool] = lambda: False
         # Until then a holder before us may still order without the store, as
         # was heard, and as the process before this one may have heard.
-        self._kept_away_until = 0.0
-        self._unsure_until = self._find_end_of_detached_orders()
+        self._hold_off_until = 0.0
+        self._startup_hold_off_until = self._find_end_of_detached_orders()
         # Until then orders may be near that the store has lost the claims of.
-        self._returned_until = 0.0
-        store.on_return(self._note_return)
+        self._store_hold_off_until = 0.0
+        store.on_return(self._start_store_hold_off)
 
     def note_revision(self, endpoint: str, revision: int) -> None:
         """Takes in a claim's revision as its holder tells it."""
@@ -58,15 +58,15 @@
 
     def start_hold_off(self) -> None:
         """Notes that a holder orders engines without writing claims."""
-        self._kept_away_until = self._find_end_of_detached_orders()
+        self._hold_off_until = self._find_end_of_detached_orders()
 
     def note_no_predecessor(self) -> None:
         """Notes that no other instance held the lease before this one."""
         if self._store.era <= _FIRST_ERA:
             # A later one may lack the lease of another instance.
-            self._unsure_until = 0.0
+            self._startup_hold_off_until = 0.0
 
-    def _note_return(self) -> None:
+    def _start_store_hold_off(self) -> None:
         """Keeps away from all engines once the store has lost writes.
 
         Another instance may have ordered them and the store have lost that,
@@ -76,7 +76,9 @@
         if self.holds_lease() or self.is_detached():
             return
         distance = self._options.bounds.lease + lease.TRAVEL_SECONDS
-        self._returned_until = clock.now() + lease.SEND_LIMIT_SECONDS + distance
+        self._store_hold_off_until = (
+            clock.now() + lease.SEND_LIMIT_SECONDS + distance
+        )
 
     def _find_end_of_detached_orders(self) -> float:
         """Returns until when a holder heard now may be too near with orders."""
@@ -91,9 +93,9 @@
         """
         listing = await self._store.list(records.CLAIM)
         for stored in listing.items:
-            self._note(stored)
+            self._observe(stored)
 
-    def _note(self, stored: store_module.Stored[lease.Claim]) -> None:
+    def _observe(self, stored: store_module.Stored[lease.Claim]) -> None:
         self.known[stored.name] = lease.observe_claim(
             self.known.get(stored.name),
             stored.value,
@@ -116,10 +118,12 @@
     def may_claim(self, endpoint: str) -> bool:
         """Whether an engine may be ordered by this instance now."""
         now = clock.now()
-        away_until = max(
-            self._kept_away_until, self._unsure_until, self._returned_until
+        hold_off_until = max(
+            self._hold_off_until,
+            self._startup_hold_off_until,
+            self._store_hold_off_until,
         )
-        return now >= away_until and lease.may_claim(
+        return now >= hold_off_until and lease.may_claim(
             self.known.get(endpoint),
             self._options.name,
             self._options.bounds.lease,
@@ -168,6 +172,6 @@
             )
             return
         if stored is not None:
-            self._note(stored)
+            self._observe(stored)
         else:
             self.known.pop(endpoint, None)
--- a/src/wayslip/gateway/detached_operation.py
+++ b/src/wayslip/gateway/detached_operation.py
@@ -17,18 +17,18 @@
 
     def __init__(
         self,
-        own: str,
+        own_address: str,
         leadership: leadership_module.Leadership,
         members: members_module.Members,
     ) -> None:
         """Initializes the state.
 
         Args:
-            own: Where this instance hears its peers, "IP:PORT".
+            own_address: Where this instance hears its peers, "IP:PORT".
             leadership: Its part in the lease.
             members: What it hears from the others while it holds the lease.
         """
-        self._own = own
+        self._own_address = own_address
         self._leadership = leadership
         self._members = members
         self._state = detachment.NONE
@@ -48,7 +48,7 @@
         if not self._leadership.is_renewal_overdue:
             return []
         missing = self._members.list_missing()
-        return [p for p in missing if p.address != self._own]
+        return [p for p in missing if p.address != self._own_address]
 
     def _judge(self) -> detachment.Detachment:
         """Looks again; what was granted a moment ago may be over."""
@@ -58,7 +58,7 @@
         if self._leadership.is_held and self._leadership.is_renewal_overdue:
             term = self._leadership.seen_term
             self._state = before.judge(
-                self._members.list_words(term, self._own),
+                self._members.list_words(term, self._own_address),
                 bool(self.list_missing()),
                 # At the resolution in which words in answer are told.
                 detachment.read_stamp(detachment.make_stamp(clock.now())),
@@ -71,16 +71,16 @@
 
     def _log_change(self) -> None:
         term = self._leadership.seen_term
-        words = self._members.list_words(term, self._own)
-        oldest = min((w.echoed_at for w in words), default=clock.now())
+        statuses = self._members.list_words(term, self._own_address)
+        oldest = min((w.echoed_at for w in statuses), default=clock.now())
         logs.event(
             _LOG,
             "detachment_changed",
             granted=self._state.is_granted,
             held=self._leadership.is_held,
             doubtful=self._leadership.is_renewal_overdue,
-            instances=len(words),
+            instances=len(statuses),
             oldest=f"{clock.now() - oldest:.2f}",
-            cut_off=sum(w.cut_off for w in words),
+            cut_off=sum(w.cut_off for w in statuses),
             missing=",".join(p.address for p in self.list_missing()),
         )
--- a/src/wayslip/gateway/leadership.py
+++ b/src/wayslip/gateway/leadership.py
@@ -17,31 +17,31 @@
 _LOG = logging.getLogger(__name__)
 NAME = "placement"
 # Between looks at the lease while its holder is silent, seconds.
-_LOOK_SECONDS = 0.6
+_CHECK_PERIOD_SECONDS = 0.6
 # Less than this is not waited for: sums of times are not exact, seconds.
-_TICK_SECONDS = 0.001
+_MIN_WAIT_SECONDS = 0.001
 # Between writes of a holder whose last one had no answer, seconds.
 _REPEAT_SECONDS = 0.05
 # The same once others were told that it can not renew, seconds: it is still
 # the first to know that the store is back.
-_DOUBTFUL_SECONDS = 0.2
+_OVERDUE_REPEAT_SECONDS = 0.2
 # A renewal's answer is waited for this long, seconds: above what the store
 # takes when it is fifty times as slow as usual. Then it is sent again on a new
 # connection, because the answer may have been lost.
-_ANSWER_SECONDS = 0.3
+_ANSWER_TIMEOUT_SECONDS = 0.3
 # Instances that see a free lease together try at different times, seconds.
-_SPREAD_SECONDS = 0.3
+_JITTER_SECONDS = 0.3
 # One with little processor time leaves the lease to others for this long,
 # seconds divided by one and its cores: planning for a large fleet takes a good
 # part of a core, and requests there wait for it.
-_HANDICAP_SECONDS = 0.3
+_CORES_DELAY_SECONDS = 0.3
 # One with a narrow link does so too, seconds at no link at all, half of that at
 # this many bytes a second (25 Mbit/s). All others have a large configuration
 # after the holder only, which needs 1.7 s for 1 MB over 5 Mbit/s: of 40
 # instances with 3 wide links the last had a second change after 2.9 s where
 # one with a narrow link held the lease, after 0.5 s else.
-_LINK_HANDICAP_SECONDS = 0.25
-_LINK_HALF = 3_125_000.0
+_LINK_DELAY_SECONDS = 0.25
+_LINK_HALF_BYTES_PER_S = 3_125_000.0
 
 
 class Leadership:
@@ -81,8 +81,8 @@
         self._on_lost = on_lost
         self._find_pause = find_pause
         self._on_cut_off = on_cut_off
-        self._asked = asyncio.Event()
-        self._asked.set()
+        self._check_requested = asyncio.Event()
+        self._check_requested.set()
         # Set when a holder is heard to have renewed the lease.
         self._renewed = asyncio.Event()
         self._lock = asyncio.Lock()
@@ -155,7 +155,7 @@
     def receive_yield(self, term: int) -> None:
         """Takes in that the holder of a term says it can not go on."""
         self._yielded_term = term
-        self._asked.set()
+        self._check_requested.set()
 
     def receive_holder(self, term: int, revision: int, address: str) -> None:
         """Takes in from a new holder that it has the lease.
@@ -165,10 +165,10 @@
         """
         if self._is_held:
             self._lose("a holder with a higher term is heard")
-        told = lease.Lease("", address, term)
+        announced = lease.Lease("", address, term)
         self._may_retake = False
         self._highest_term = max(self.seen_term, term)
-        self.observed = lease.ObservedLease(told, revision, clock.now())
+        self.observed = lease.ObservedLease(announced, revision, clock.now())
 
     @property
     def holder_address(self) -> str | None:
@@ -196,7 +196,7 @@
 
     def request_check(self) -> None:
         """Has the lease looked at, because its holder is silent."""
-        self._asked.set()
+        self._check_requested.set()
 
     # The loop
 
@@ -212,16 +212,16 @@
 
     async def _step(self) -> None:
         if not self._is_held:
-            await self._asked.wait()
-            self._asked.clear()
-            await self._look()
+            await self._check_requested.wait()
+            self._check_requested.clear()
+            await self._check()
             return
         # A holder whose lease ran out goes on writing: if that succeeds on
         # the old revision, nobody has taken the lease meanwhile.
         is_answered = self.is_valid and not self._renewal_timeout.is_pending
         pause = lease.RENEWAL_SECONDS if is_answered else _REPEAT_SECONDS
         if self._renewal_timeout.has_expired:
-            pause = _DOUBTFUL_SECONDS
+            pause = _OVERDUE_REPEAT_SECONDS
         await asyncio.sleep(pause)
         await self.renew()
 
@@ -237,22 +237,22 @@
             self._is_cut_off = True
             self._on_cut_off()
         if not self._is_held:
-            await self._wait_to_look()
-        self._asked.set()
+            await self._wait_to_check()
+        self._check_requested.set()
 
-    async def _wait_to_look(self) -> None:
+    async def _wait_to_check(self) -> None:
         """Waits for another look at the lease, or for a holder's renewal."""
         self._renewed.clear()
         began = clock.now()
-        draw = random.uniform(0.7, 1.0)
+        jitter = random.uniform(0.7, 1.0)
         # Looked up again and again, since the holder may fall silent.
         while True:
-            end = began + self._find_pause(_LOOK_SECONDS) * draw
+            end = began + self._find_pause(_CHECK_PERIOD_SECONDS) * jitter
             left = end - clock.now()
-            if left < _TICK_SECONDS:
+            if left < _MIN_WAIT_SECONDS:
                 return
             try:
-                async with asyncio.timeout(min(left, _LOOK_SECONDS)):
+                async with asyncio.timeout(min(left, _CHECK_PERIOD_SECONDS)):
                     await self._renewed.wait()
                     return
             except TimeoutError:
@@ -274,12 +274,12 @@
             self._is_cut_off = False
             if stored is None:
                 if self._is_held:
-                    self._lose_with_writes()
+                    self._lose_to_rollback()
                 return None
-            self._note(stored, began)
+            self._observe(stored, began)
             return self.observed
 
-    def _note(
+    def _observe(
         self, stored: store_module.Stored[lease.Lease], began: float
     ) -> None:
         """Takes in a record that was read, which may be an own late write."""
@@ -301,7 +301,7 @@
             and observed.lease.term == self._own_term
         )
         if not is_ours and observed.lease.term < self._own_term:
-            self._lose_with_writes()
+            self._lose_to_rollback()
             return
         if not is_ours:
             self._lose("another instance took it")
@@ -310,17 +310,17 @@
         self._renewal_timeout.end()
         self._valid_until = max(self._valid_until, began + lease.HOLD_SECONDS)
 
-    async def _look(self) -> None:
+    async def _check(self) -> None:
         if self._is_stopping:
             return
         if self._may_retake:
             await self._retake()
             return
         await self._wait_until_free()
-        await self._let_others_go_first()
+        await self._delay_attempt()
         # One that the store did not answer goes on asking: the holder may be
         # the only one that it turns away.
-        if self._is_heard_again() and not self._is_cut_off:
+        if self._is_holder_active() and not self._is_cut_off:
             return
         # An old record is harmless: it is written over only if it is the
         # newest still.
@@ -334,7 +334,7 @@
         if is_free:
             await self._take(observed)
             return
-        await asyncio.sleep(_LOOK_SECONDS)
+        await asyncio.sleep(_CHECK_PERIOD_SECONDS)
         # Unless the holder was heard meanwhile, whoever watches it asks again.
 
     async def _retake(self) -> None:
@@ -355,15 +355,17 @@
         the instances that waited longest took it, which are those with the
         least processor and link.
         """
-        while (left := self._find_rest()) > 0 and not self._is_heard_again():
-            self._asked.clear()
+        while (
+            left := self._seconds_until_free()
+        ) > 0 and not self._is_holder_active():
+            self._check_requested.clear()
             try:
                 async with asyncio.timeout(left):
-                    await self._asked.wait()
+                    await self._check_requested.wait()
             except TimeoutError:
                 return
 
-    def _find_rest(self) -> float:
+    def _seconds_until_free(self) -> float:
         """Returns the seconds until another holder's lease can be taken."""
         if self.observed is None or self._is_cut_off:
             return 0.0
@@ -373,7 +375,7 @@
             self.observed, self._options.name, clock.now()
         )
 
-    def _is_heard_again(self) -> bool:
+    def _is_holder_active(self) -> bool:
         """Whether a holder spoke while we let others go first."""
         return (
             self.observed is not None
@@ -381,36 +383,39 @@
             and clock.now() - self.observed.since < lease.HOLD_SECONDS
         )
 
-    async def _let_others_go_first(self) -> None:
-        handicap = _HANDICAP_SECONDS / (1.0 + self._options.cores)
+    async def _delay_attempt(self) -> None:
+        delay = _CORES_DELAY_SECONDS / (1.0 + self._options.cores)
         link = self._options.bytes_per_s
-        handicap += _LINK_HANDICAP_SECONDS / (1.0 + link / _LINK_HALF)
-        await asyncio.sleep(handicap + random.uniform(0, _SPREAD_SECONDS))
+        delay += _LINK_DELAY_SECONDS / (1.0 + link / _LINK_HALF_BYTES_PER_S)
+        await asyncio.sleep(delay + random.uniform(0, _JITTER_SECONDS))
 
     async def _take(self, observed: lease.ObservedLease | None) -> None:
         began = clock.now()
         era = self._store.era
         term = lease.next_term(self.seen_term, era)
-        mine = lease.Lease(self._options.name, self._options.peers, term)
+        own_lease = lease.Lease(self._options.name, self._options.peers, term)
         if observed is None:
-            stored = await self._store.create(self._kind, NAME, mine)
+            stored = await self._store.create(self._kind, NAME, own_lease)
             if position.find_era(stored.revision) != era:
                 raise errors.ObjectConflictError(
                     "the store lost writes meanwhile", "take it again"
                 )
         else:
             stored = await self._store.replace(
-                self._kind, store_module.Stored(NAME, observed.revision, mine)
+                self._kind,
+                store_module.Stored(NAME, observed.revision, own_lease),
             )
         self._follows_another = (
             observed is not None and observed.lease.holder != self._options.name
         )
-        self.observed = lease.ObservedLease(mine, stored.revision, clock.now())
-        self._own_term = mine.term
+        self.observed = lease.ObservedLease(
+            own_lease, stored.revision, clock.now()
+        )
+        self._own_term = own_lease.term
         self._renewal_timeout.end()
         self._is_held = True
         self._valid_until = began + lease.HOLD_SECONDS
-        logs.event(_LOG, "lease_taken", term=mine.term)
+        logs.event(_LOG, "lease_taken", term=own_lease.term)
         self._on_taken()
 
     async def renew(self) -> None:
@@ -427,16 +432,16 @@
                 return
             assert self.observed is not None
             began = clock.now()
-            mine = self.observed.lease.renew()
+            own_lease = self.observed.lease.renew()
             self._renewal_timeout.begin()
             stored = await self._store.replace(
                 self._kind,
-                store_module.Stored(NAME, self.observed.revision, mine),
-                _ANSWER_SECONDS,
+                store_module.Stored(NAME, self.observed.revision, own_lease),
+                _ANSWER_TIMEOUT_SECONDS,
             )
             self._renewal_timeout.end()
             self.observed = lease.ObservedLease(
-                mine, stored.revision, clock.now()
+                own_lease, stored.revision, clock.now()
             )
             self._valid_until = began + lease.HOLD_SECONDS
 
@@ -447,10 +452,12 @@
             return
         try:
             async with self._lock:
-                mine = self.observed.lease.release()
+                own_lease = self.observed.lease.release()
                 await self._store.replace(
                     self._kind,
-                    store_module.Stored(NAME, self.observed.revision, mine),
+                    store_module.Stored(
+                        NAME, self.observed.revision, own_lease
+                    ),
                 )
         except errors.ObjectError as e:
             logs.event(
@@ -458,7 +465,7 @@
             )
         self._lose("it was released")
 
-    def _lose_with_writes(self) -> None:
+    def _lose_to_rollback(self) -> None:
         """Loses the lease with what the store lost, until it is retaken."""
         self._lose("the store came back from a copy without it")
         self._may_retake = not self._is_stopping
@@ -469,4 +476,4 @@
         self._renewal_timeout.end()
         logs.event(_LOG, "lease_lost", logging.WARNING, reason=reason)
         self._on_lost()
-        self._asked.set()
+        self._check_requested.set()
--- a/src/wayslip/gateway/loads.py
+++ b/src/wayslip/gateway/loads.py
@@ -16,16 +16,16 @@
 
 _LOG = logging.getLogger(__name__)
 # Longest wait for an unload, which waits for the model's runs, seconds.
-_UNLOAD_SECONDS = 8.0
+_UNLOAD_TIMEOUT_SECONDS = 8.0
 # A load may take this many times what is expected before it is given up on.
 _LOAD_FACTOR = 3.0
-_LOAD_EXTRA = 5.0
+_LOAD_EXTRA_SECONDS = 5.0
 # An engine that did not carry out a load is left alone for this long: its
 # reports are some hundred milliseconds old, seconds.
-_FAILED_REST = 0.6
+_FAILED_BACKOFF_SECONDS = 0.6
 # A load that the holder before us ordered is taken to last so much longer,
 # seconds: half of a load from the weight store.
-_ADOPTED_SECONDS = 5.0
+_ADOPTED_LOAD_SECONDS = 5.0
 
 
 class Loads:
@@ -58,7 +58,9 @@
                 is_loaded = await self._load(tracked_engine, step, pool)
         finally:
             if not is_loaded:
-                tracked_engine.rests_until = clock.now() + _FAILED_REST
+                tracked_engine.backoff_until = (
+                    clock.now() + _FAILED_BACKOFF_SECONDS
+                )
             tracked_engine.ready_at.pop(step.model, None)
             self._announce_changes()
 
@@ -68,7 +70,7 @@
         step: loading.Step,
     ) -> bool:
         """Unloads the victims; returns whether all are gone."""
-        if not await self._order_sender.learn(tracked_engine):
+        if not await self._order_sender.sync_until_certain(tracked_engine):
             return False
         for victim in step.victims:
             item = (victim, "")
@@ -81,7 +83,7 @@
                 tracked_engine.withdrawn.discard(item)
                 return False
             if not await self._order_sender.wait_for_model(
-                tracked_engine, victim, False, _UNLOAD_SECONDS
+                tracked_engine, victim, False, _UNLOAD_TIMEOUT_SECONDS
             ):
                 return False
         return True
@@ -92,11 +94,11 @@
         step: loading.Step,
         pool: manifest_module.Pool,
     ) -> bool:
-        need = pool.models[step.model].weights_mb
+        size_mb = pool.models[step.model].weights_mb
 
         def fits() -> bool:
             total, _ = planner_inputs.sum_charges(tracked_engine, pool)
-            return total + need <= pool.weights_mb
+            return total + size_mb <= pool.weights_mb
 
         outcome = await self._order_sender.order(
             tracked_engine, lease.Action.LOAD, (step.model, ""), fits
@@ -105,7 +107,7 @@
             return False
         tracked_engine.ready_at[step.model] = clock.now() + step.seconds
         self._announce_changes()
-        limit = step.seconds * _LOAD_FACTOR + _LOAD_EXTRA
+        limit = step.seconds * _LOAD_FACTOR + _LOAD_EXTRA_SECONDS
         await asyncio.sleep(step.seconds * 0.9)
         is_done = await self._order_sender.wait_for_model(
             tracked_engine, step.model, True, limit
@@ -125,29 +127,29 @@
     async def settle(
         self,
         tracked_engine: tracked_engines_module.TrackedEngine,
-        is_within: Callable[[tracked_engines_module.TrackedEngine], bool],
+        fits_pool: Callable[[tracked_engines_module.TrackedEngine], bool],
     ) -> None:
         """Settles an order that the holder before us left open.
 
         Args:
             tracked_engine: Whose engine it was for.
-            is_within: Whether all that an engine's book charges fits.
+            fits_pool: Whether all that an engine's book charges fits.
         """
         pending = tracked_engine.pending
         await self._order_sender.settle(
-            tracked_engine, lambda: is_within(tracked_engine)
+            tracked_engine, lambda: fits_pool(tracked_engine)
         )
         if pending is None or pending.adapter:
             return
         if (pending.model, "") in tracked_engine.added:
             tracked_engine.ready_at[pending.model] = (
-                clock.now() + _ADOPTED_SECONDS
+                clock.now() + _ADOPTED_LOAD_SECONDS
             )
-            await self.see_loaded(
-                tracked_engine, pending.model, _ADOPTED_SECONDS
+            await self.wait_for_adopted_load(
+                tracked_engine, pending.model, _ADOPTED_LOAD_SECONDS
             )
 
-    async def see_loaded(
+    async def wait_for_adopted_load(
         self,
         tracked_engine: tracked_engines_module.TrackedEngine,
         model: str,
@@ -159,7 +161,7 @@
             if state is not None and not state.is_busy:
                 return
             await self._order_sender.wait_for_model(
-                tracked_engine, model, True, seconds + _LOAD_EXTRA
+                tracked_engine, model, True, seconds + _LOAD_EXTRA_SECONDS
             )
         finally:
             tracked_engine.ready_at.pop(model, None)
--- a/src/wayslip/gateway/order_sender.py
+++ b/src/wayslip/gateway/order_sender.py
@@ -33,11 +33,11 @@
 _POLL_SECONDS = 0.4
 # A report that is older than an order is asked for again after a while,
 # seconds; reports are some hundred milliseconds old.
-_LEARN_SECONDS = 0.15
-_LEARN_TRIES = 5
+_SYNC_RETRY_SECONDS = 0.15
+_MAX_SYNC_ATTEMPTS = 5
 # An engine that was busy, or whose count we had wrong, is left alone for as
 # long as its reports may be old, seconds.
-_BUSY_REST = 0.2
+_BUSY_BACKOFF_SECONDS = 0.2
 
 
 class OrderSender:
@@ -91,15 +91,15 @@
         )
         return state if is_new else None
 
-    async def learn(
+    async def sync_until_certain(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> bool:
         """Sees to it that an engine's count and content are known."""
-        for attempt in range(_LEARN_TRIES):
+        for attempt in range(_MAX_SYNC_ATTEMPTS):
             if tracked_engine.is_certain:
                 return True
             if attempt:
-                await asyncio.sleep(_LEARN_SECONDS)
+                await asyncio.sleep(_SYNC_RETRY_SECONDS)
             await self.sync(tracked_engine)
         return tracked_engine.is_certain
 
@@ -124,12 +124,13 @@
         """
         model, adapter = item
         async with tracked_engine.lock:
-            if not await self.learn(tracked_engine) or not may_send():
+            if (
+                not await self.sync_until_certain(tracked_engine)
+                or not may_send()
+            ):
                 return engines_module.OrderOutcome.REFUSED
             assert tracked_engine.inventory is not None
-            known = _judge_without_asking(
-                tracked_engine.inventory, action, item
-            )
+            known = _predict_outcome(tracked_engine.inventory, action, item)
             if known is not None:
                 return known
             pending = lease.Pending(
@@ -139,7 +140,7 @@
                 model,
                 adapter,
             )
-            return await self._give(tracked_engine, pending)
+            return await self._execute(tracked_engine, pending)
 
     async def settle(
         self,
@@ -159,9 +160,9 @@
             if pending is None:
                 return
             outcome = await self._repeat(tracked_engine, pending, fits)
-            self._note(tracked_engine, pending, outcome, {})
+            self._record_outcome(tracked_engine, pending, outcome, {})
 
-    async def _give(
+    async def _execute(
         self,
         tracked_engine: tracked_engines_module.TrackedEngine,
         pending: lease.Pending,
@@ -175,7 +176,7 @@
             return engines_module.OrderOutcome.REFUSED
         if outcome is engines_module.OrderOutcome.UNKNOWN:
             outcome = await self._repeat(tracked_engine, pending)
-        self._note(tracked_engine, pending, outcome, room)
+        self._record_outcome(tracked_engine, pending, outcome, room)
         return outcome
 
     async def _send(
@@ -224,7 +225,7 @@
                 return outcome
         return outcomes.ELSEWHERE
 
-    def _note(
+    def _record_outcome(
         self,
         tracked_engine: tracked_engines_module.TrackedEngine,
         pending: lease.Pending,
@@ -249,14 +250,14 @@
         outcomes = engines_module.OrderOutcome
         if outcome is outcomes.TAKEN:
             tracked_engine.note_taken(pending, now)
-        elif outcome is outcomes.HELD and _is_adapters_unload(pending):
+        elif outcome is outcomes.HELD and _is_adapter_unload(pending):
             tracked_engine.note_unloaded(pending, now)
         else:
             tracked_engine.note_uncertain()
         if outcome is outcomes.BUSY:
             # A report of the same moment would tell the same count again.
-            tracked_engine.rests_until = max(
-                tracked_engine.rests_until, now + _BUSY_REST
+            tracked_engine.backoff_until = max(
+                tracked_engine.backoff_until, now + _BUSY_BACKOFF_SECONDS
             )
 
     async def wait_for_model(
@@ -285,13 +286,13 @@
                 else tracked_engine.lacks(item)
             ):
                 return True
-            if await self._is_listed_anew(tracked_engine, item, is_held):
+            if await self._wait_for_entry(tracked_engine, item, is_held):
                 # Reports are a little older than what made the entry change.
-                await asyncio.sleep(_LEARN_SECONDS)
+                await asyncio.sleep(_SYNC_RETRY_SECONDS)
             await self.sync(tracked_engine)
         return False
 
-    async def _is_listed_anew(
+    async def _wait_for_entry(
         self,
         tracked_engine: tracked_engines_module.TrackedEngine,
         item: fleet.Item,
@@ -312,7 +313,7 @@
             return False
 
 
-def _judge_without_asking(
+def _predict_outcome(
     known: inventory_module.Inventory, action: lease.Action, item: fleet.Item
 ) -> engines_module.OrderOutcome | None:
     """Returns what would come of an order that an engine would not count.
@@ -331,5 +332,5 @@
     return None
 
 
-def _is_adapters_unload(pending: lease.Pending) -> bool:
+def _is_adapter_unload(pending: lease.Pending) -> bool:
     return pending.action is lease.Action.UNLOAD and bool(pending.adapter)
--- a/src/wayslip/gateway/planner.py
+++ b/src/wayslip/gateway/planner.py
@@ -27,17 +27,17 @@
 _LOG = logging.getLogger(__name__)
 # Between plans, seconds; a decision is then at most this much late against
 # loads of a second or more.
-_PERIOD = 0.15
+_PLAN_PERIOD_SECONDS = 0.15
 # The least of that, seconds: a plan takes up to a few milliseconds.
-_LEAST_PERIOD = 0.005
+_MIN_PLAN_PERIOD_SECONDS = 0.005
 # Loads from the weight store that may begin together, see `rate.Bucket`.
-_COLD_BURST = 2.0
+_COLD_LOAD_BURST = 2.0
 # The claim of an engine is kept for so long after it left the list, seconds:
 # many times what an entry that lapsed takes to come back.
-_CLAIM_SECONDS = 60.0
+_CLAIM_RETENTION_SECONDS = 60.0
 # How long a request's wish for an adapter is tried again, seconds; the request
 # repeats it while it waits.
-_WISH_SECONDS = 0.2
+_LOAD_REQUEST_SECONDS = 0.2
 
 
 class Planner:
@@ -60,9 +60,9 @@
         self._order_sender = order_sender
         self.members = members
         self._announcer = announcer
-        self._soon = asyncio.Event()
+        self._wake = asyncio.Event()
         self._background_tasks = background.BackgroundTasks(
-            "order_series_failed", self._soon.set
+            "order_series_failed", self._wake.set
         )
         self._loads = loads_module.Loads(
             order_sender, announcer.announce_changes
@@ -77,13 +77,13 @@
         )
         self._buckets: dict[str, rate.Bucket] = {}
         # Adapters that requests wait for, and until when.
-        self._wishes: dict[adapters_module.LoadRequest, float] = {}
+        self._load_requests: dict[adapters_module.LoadRequest, float] = {}
         # Where instances wait for an adapter, and until when.
         self._waiting: dict[
             adapters_module.LoadRequest, dict[hub_module.Address, float]
         ] = {}
         # Loads that the holder before us told of, by endpoint and model.
-        self._heard_arrivals: dict[tuple[str, str], float] = {}
+        self._announced_loads: dict[tuple[str, str], float] = {}
         self._missing_since: dict[str, float] = {}
         self._is_prepared = False
         # What `_find_held` found before the last plan: 400 reports a second
@@ -115,7 +115,7 @@
                 logs.event(
                     _LOG, "claims_not_read", logging.WARNING, reason=e.reason
                 )
-                await asyncio.sleep(_PERIOD)
+                await asyncio.sleep(_PLAN_PERIOD_SECONDS)
         self._follow_list()
         self._adopt_loads()
         for name, seen in self._order_sender.claims.known.items():
@@ -123,13 +123,13 @@
             if tracked_engine is not None and seen.claim.pending is not None:
                 tracked_engine.pending = seen.claim.pending
                 self._background_tasks.start(
-                    self._loads.settle(tracked_engine, self._is_within)
+                    self._loads.settle(tracked_engine, self._fits_pool)
                 )
         self._is_prepared = True
 
     def _adopt_loads(self) -> None:
         now = clock.now()
-        for (name, model), at in self._heard_arrivals.items():
+        for (name, model), at in self._announced_loads.items():
             tracked_engine = self._order_sender.tracked_engines.get(name)
             if (
                 tracked_engine is None
@@ -139,10 +139,12 @@
                 continue
             tracked_engine.ready_at[model] = at
             tracked_engine.task = self._background_tasks.start(
-                self._loads.see_loaded(tracked_engine, model, at - now)
+                self._loads.wait_for_adopted_load(
+                    tracked_engine, model, at - now
+                )
             )
 
-    def _is_within(
+    def _fits_pool(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> bool:
         """Whether what an engine holds and may take fits, as configured."""
@@ -152,7 +154,7 @@
         service = manifest.services.get(tracked_engine.endpoint.service)
         if service is None or service.pool is None:
             return False
-        return planner_inputs.is_within(tracked_engine, service.pool)
+        return planner_inputs.fits_pool(tracked_engine, service.pool)
 
     def end(self) -> None:
         """Stops giving orders; what was sent stays in the claims."""
@@ -166,28 +168,32 @@
     ) -> None:
         """Takes in what an instance tells or asks for."""
         if not self._leadership.is_held:
-            self._take_statement(message)
+            self._process_holder_message(message)
         elif isinstance(message, facts.Report):
             self.members.take(message, source, self._held)
             self._accounts.record_report(message)
         elif isinstance(message, facts.ItemRequest):
-            self._take_want(message, source)
+            self._process_item_request(message, source)
 
-    def _take_want(
-        self, want: facts.ItemRequest, source: hub_module.Address
+    def _process_item_request(
+        self, item_request: facts.ItemRequest, source: hub_module.Address
     ) -> None:
-        self.members.meet(want, source)
-        if not want.adapter:
+        self.members.meet(item_request, source)
+        if not item_request.adapter:
             return
-        wish = (want.service, want.model, want.adapter)
-        until = clock.now() + _WISH_SECONDS
-        self._wishes[wish] = until
-        self._waiting.setdefault(wish, {})[source] = until
-        self._soon.set()
+        request = (
+            item_request.service,
+            item_request.model,
+            item_request.adapter,
+        )
+        until = clock.now() + _LOAD_REQUEST_SECONDS
+        self._load_requests[request] = until
+        self._waiting.setdefault(request, {})[source] = until
+        self._wake.set()
 
     def _notify_waiting(
         self,
-        wish: adapters_module.LoadRequest,
+        request: adapters_module.LoadRequest,
         tracked_engine: tracked_engines_module.TrackedEngine,
     ) -> None:
         """Tells those who wait for an adapter that an engine loads it.
@@ -195,10 +201,10 @@
         News for all waits for more of it, in a fleet of 195 instances for 0.15
         s, and a request waits little longer than that.
         """
-        waiting = self._waiting.pop(wish, {})
-        self._announcer.announce_to(tracked_engine, wish[1:], list(waiting))
+        waiting = self._waiting.pop(request, {})
+        self._announcer.announce_to(tracked_engine, request[1:], list(waiting))
 
-    def _take_statement(self, message: facts.Message) -> None:
+    def _process_holder_message(self, message: facts.Message) -> None:
         """Remembers what a successor of the holder needs."""
         if isinstance(message, facts.State):
             if message.is_detached:
@@ -216,16 +222,16 @@
                     claim.endpoint, claim.revision
                 )
         elif isinstance(message, facts.PlacementUpdate):
-            self._take_arrivals(message)
+            self._process_arrivals(message)
 
-    def _take_arrivals(self, news: facts.PlacementUpdate) -> None:
+    def _process_arrivals(self, update: facts.PlacementUpdate) -> None:
         now = clock.now()
-        if news.is_whole:
-            self._heard_arrivals = {}
-        for one in news.arrivals:
+        if update.is_whole:
+            self._announced_loads = {}
+        for one in update.arrivals:
             if one.is_ordered:
                 key = (one.endpoint, one.model)
-                self._heard_arrivals[key] = now + one.seconds
+                self._announced_loads[key] = now + one.seconds
 
     def _find_held(self) -> set[tuple[str, str]]:
         """Returns services with the models that can serve now."""
@@ -242,13 +248,13 @@
         """Plans for as long as the process lives."""
         while True:
             try:
-                async with asyncio.timeout(_PERIOD):
-                    await self._soon.wait()
+                async with asyncio.timeout(_PLAN_PERIOD_SECONDS):
+                    await self._wake.wait()
             except TimeoutError:
                 pass
             # A series that ends at once must not make this loop spin.
-            await asyncio.sleep(_LEAST_PERIOD)
-            self._soon.clear()
+            await asyncio.sleep(_MIN_PLAN_PERIOD_SECONDS)
+            self._wake.clear()
             self._follow_list()
             if self._leadership.is_held:
                 self._held = self._find_held()
@@ -258,7 +264,7 @@
             )
             if may_plan and self._is_prepared:
                 self._plan()
-                self._drop_claims()
+                self._remove_claims()
 
     def _follow_list(self) -> None:
         tracked_engines = self._order_sender.tracked_engines
@@ -282,13 +288,13 @@
             elif tracked_engine.endpoint is not tracked.endpoint:
                 tracked_engine.apply_entry(tracked.endpoint, now)
 
-    def _drop_claims(self) -> None:
+    def _remove_claims(self) -> None:
         """Removes the claims of engines that will not come back.
 
         An engine that lives may be missing from the list for a while, and
         its claim must then still be there.
         """
-        limit = clock.now() - _CLAIM_SECONDS
+        limit = clock.now() - _CLAIM_RETENTION_SECONDS
         old = [n for n, at in self._missing_since.items() if at < limit]
         for name in old:
             del self._missing_since[name]
@@ -300,27 +306,31 @@
             return
         now = clock.now()
         self.members.forget_misses()
-        self._wishes = {w: at for w, at in self._wishes.items() if at > now}
+        self._load_requests = {
+            w: at for w, at in self._load_requests.items() if at > now
+        }
         self._waiting = {
-            wish: waiting
-            for wish, waiting in self._waiting.items()
+            request: waiting
+            for request, waiting in self._waiting.items()
             if max(waiting.values()) > now
         }
         for service in manifest.services.values():
             pool = service.pool
             if pool is None:
                 continue
-            tracked_engines = self._books_of(service.name)
-            for wish in [w for w in self._wishes if w[0] == service.name]:
-                if self._adapters.wish(
-                    wish[0], pool, tracked_engines, wish[1:]
+            tracked_engines = self._list_engines(service.name)
+            for request in [
+                w for w in self._load_requests if w[0] == service.name
+            ]:
+                if self._adapters.request_load(
+                    request[0], pool, tracked_engines, request[1:]
                 ):
-                    del self._wishes[wish]
+                    del self._load_requests[request]
             while self._plan_one(service.name, pool):
                 pass
-            self._adapters.fill(service.name, pool, tracked_engines)
+            self._adapters.preload(service.name, pool, tracked_engines)
 
-    def _books_of(
+    def _list_engines(
         self, service: str
     ) -> list[tracked_engines_module.TrackedEngine]:
         return [
@@ -332,7 +342,9 @@
     def _plan_one(self, service: str, pool: manifest_module.Pool) -> bool:
         """Starts the load that gains most; returns whether there was one."""
         now = clock.now()
-        tracked_engines = {b.endpoint.name: b for b in self._books_of(service)}
+        tracked_engines = {
+            b.endpoint.name: b for b in self._list_engines(service)
+        }
         found = {
             n: planner_inputs.make_engine(
                 b,
@@ -345,7 +357,7 @@
         demand = self.members.find_demand(service, pool)
         bucket = self._buckets.get(service)
         if bucket is None:
-            bucket = rate.Bucket(pool.loads_per_s, _COLD_BURST, 0.0, now)
+            bucket = rate.Bucket(pool.loads_per_s, _COLD_LOAD_BURST, 0.0, now)
             self._buckets[service] = bucket
         spent = bucket.take(now)
         step = loading.plan_load(found, pool, demand, spent is not None)
--- a/src/wayslip/gateway/planner_inputs.py
+++ b/src/wayslip/gateway/planner_inputs.py
@@ -26,22 +26,22 @@
     return total, adapters
 
 
-def is_within(
+def fits_pool(
     tracked_engine: tracked_engines_module.TrackedEngine, pool: manifest.Pool
 ) -> bool:
     """Whether all that is charged fits, an open order included."""
     total, _ = sum_charges(tracked_engine, pool)
-    has_places = count_adapters(tracked_engine) <= pool.adapter_slots
-    return has_places and total <= pool.weights_mb
+    has_slots = count_adapters(tracked_engine) <= pool.adapter_slots
+    return has_slots and total <= pool.weights_mb
 
 
-def is_backing_off(
+def is_idle(
     tracked_engine: tracked_engines_module.TrackedEngine, now: float
 ) -> bool:
     """Whether no series of orders is under way and none failed just now."""
     return (
         tracked_engine.task is None or tracked_engine.task.done()
-    ) and now >= tracked_engine.rests_until
+    ) and now >= tracked_engine.backoff_until
 
 
 def is_free(
@@ -51,7 +51,7 @@
 ) -> bool:
     """Whether an engine can be ordered at once."""
     return (
-        is_backing_off(tracked_engine, now)
+        is_idle(tracked_engine, now)
         and tracked_engine.pending is None
         and may_claim
     )
--- a/src/wayslip/gateway/quarantine.py
+++ b/src/wayslip/gateway/quarantine.py
@@ -34,29 +34,29 @@
 _LOG = logging.getLogger(__name__)
 # What was seen is told at once and again after these, seconds: a datagram that
 # is lost costs an endpoint more.
-_REPEATS = (0.0, 0.2, 0.8, 1.5)
+_ANNOUNCE_PAUSES_SECONDS = (0.0, 0.2, 0.8, 1.5)
 # Between statements of the holder, seconds: an instance that starts or comes
 # back from a cut is to have it within three.
-_TELL_SECONDS = 1.0
+_REANNOUNCE_PERIOD_SECONDS = 1.0
 # What came up only once is told again by the holder for so long, seconds: those
 # that did not hear it are to know of it when it comes again.
-_OPEN_SECONDS = 15.0
+_REANNOUNCE_WINDOW_SECONDS = 15.0
 # Between the holder's looks at what it has to keep in the store, seconds.
 _STEP_SECONDS = 0.25
 # Contents that endpoints answered lately, so that a common one on its way to an
 # endpoint that ends is no worse than others; each takes 100 bytes.
-_ANSWERED_MOST = 2000
+_MAX_ANSWERED = 2000
 # Instances that have all seen a content answered speak at different times, so
 # that one of them does, seconds.
-_EXCUSE_SECONDS = 0.05
+_EXEMPT_JITTER_SECONDS = 0.05
 # Between trials of a condemned content, seconds: longer than requests take.
-_TRIAL_PAUSE = 20.0
+_PROBE_PERIOD_SECONDS = 20.0
 # Marks of one datagram, some 60 bytes each.
-_PART = 300
+_MAX_RECORDS_PER_DATAGRAM = 300
 
 
 @dataclasses.dataclass
-class _Breaks:
+class _BrokenAttempts:
     """Attempts that broke off at one start of an endpoint."""
 
     at: float
@@ -65,7 +65,7 @@
     )
 
 
-Open = Callable[[tuple[str, int]], Awaitable[client.Connection]]
+OpenConnection = Callable[[tuple[str, int]], Awaitable[client.Connection]]
 
 
 class Quarantine:
@@ -91,23 +91,23 @@
             find_pause: Returns the seconds to wait before an attempt that
                 others make too; given what one instance alone would wait.
         """
-        self._witness = reporter
+        self._reporter = reporter
         self._leadership = leadership
         self._peer_broadcast = peer_broadcast
         self._metrics = metrics
         self._suspicion = suspicion.Suspicion()
         # When condemned contents were last tried here; bounded by those.
-        self._tried: dict[bytes, float] = {}
+        self._probed_at: dict[bytes, float] = {}
         self._answered: collections.OrderedDict[bytes, None] = (
             collections.OrderedDict()
         )
-        self._breaks: dict[fleet.Start, _Breaks] = {}
+        self._broken_attempts: dict[fleet.Start, _BrokenAttempts] = {}
         self._background_tasks = background.BackgroundTasks("quarantine_failed")
-        self._kept = blocked_contents_module.BlockedContents(
-            store, find_pause, self._learn
+        self._blocked_contents = blocked_contents_module.BlockedContents(
+            store, find_pause, self._add_records
         )
-        self._condemned: frozenset[bytes] = frozenset()
-        self._told_at = 0.0
+        self._blocked: frozenset[bytes] = frozenset()
+        self._announced_at = 0.0
 
     # For requests
 
@@ -133,9 +133,12 @@
             return False
         if not self._suspicion.may_be_tried(content, now):
             return False
-        if now - self._tried.get(content, float("-inf")) < _TRIAL_PAUSE:
+        if (
+            now - self._probed_at.get(content, float("-inf"))
+            < _PROBE_PERIOD_SECONDS
+        ):
             return False
-        self._tried[content] = now
+        self._probed_at[content] = now
         logs.event(_LOG, "content_tried", content=content.hex())
         return True
 
@@ -147,7 +150,7 @@
         """Notes that an endpoint answered a content: it ends none."""
         self._answered[content] = None
         self._answered.move_to_end(content)
-        if len(self._answered) > _ANSWERED_MOST:
+        if len(self._answered) > _MAX_ANSWERED:
             self._answered.popitem(last=False)
         if self._suspicion:
             self.lift(content, "answered")
@@ -155,18 +158,18 @@
     def lift(self, content: bytes, reason: str) -> bool:
         """Clears a content; returns whether it was under suspicion."""
         crash_records = self._suspicion.list_crash_records(content)
-        news = self._suspicion.clear(crash_records, clock.now())
-        if not news:
+        changed = self._suspicion.clear(crash_records, clock.now())
+        if not changed:
             return False
         logs.event(
             _LOG,
             "content_cleared",
             content=content.hex(),
             reason=reason,
-            ends=len(news),
+            ends=len(changed),
         )
-        self._note_condemned()
-        self._tell(facts.Suspects(cleared=tuple(news)))
+        self._update_blocked()
+        self._announce(facts.Suspects(cleared=tuple(changed)))
         return True
 
     def note_broken_attempt(
@@ -174,7 +177,7 @@
         endpoint: fleet.Endpoint,
         content: bytes,
         depth: int,
-        open_connection: Open,
+        open_connection: OpenConnection,
     ) -> None:
         """Notes that an attempt broke off at an endpoint.
 
@@ -189,29 +192,29 @@
             # It ends as planned, whatever is on its way there.
             return
         start = endpoint.start
-        breaks = self._breaks.get(start)
-        if breaks is None:
-            breaks = _Breaks(clock.now())
-            self._breaks[start] = breaks
+        broken = self._broken_attempts.get(start)
+        if broken is None:
+            broken = _BrokenAttempts(clock.now())
+            self._broken_attempts[start] = broken
             self._background_tasks.start(
-                self._look(start, endpoint, open_connection)
+                self._probe_endpoint(start, endpoint, open_connection)
             )
-        known = breaks.crash_records.get(content)
+        known = broken.crash_records.get(content)
         attempts = 0 if content in self._answered else 1
-        breaks.crash_records[content] = suspicion.CrashRecord(
+        broken.crash_records[content] = suspicion.CrashRecord(
             content,
             start.endpoint,
             start.born,
             depth if known is None else max(depth, known.depth),
-            self._witness,
+            self._reporter,
             attempts if known is None else attempts + known.attempts,
         )
 
-    async def _look(
+    async def _probe_endpoint(
         self,
         start: fleet.Start,
         endpoint: fleet.Endpoint,
-        open_connection: Open,
+        open_connection: OpenConnection,
     ) -> None:
         """Finds out whether an endpoint has ended, or broke off only."""
         # What breaks off in the same moment is to be there first.
@@ -221,7 +224,7 @@
             connection = await open_connection(address)
             connection.close()
         except errors.NobodyListensError:
-            self._confirm(start)
+            self._record_crash(start)
         except errors.NotSentError as e:
             # It may be cut off, which says nothing of the requests.
             logs.event(
@@ -231,31 +234,31 @@
                 reason=e.reason,
             )
         finally:
-            self._breaks.pop(start, None)
+            self._broken_attempts.pop(start, None)
 
-    def _confirm(self, start: fleet.Start) -> None:
+    def _record_crash(self, start: fleet.Start) -> None:
         """Takes in that an endpoint ended, and tells everybody."""
-        breaks = self._breaks[start]
-        crash_records = list(breaks.crash_records.values())
+        broken = self._broken_attempts[start]
+        crash_records = list(broken.crash_records.values())
         logs.event(
             _LOG,
             "endpoint_ended",
             logging.WARNING,
             endpoint=start.endpoint,
             born=start.born,
-            seconds=f"{clock.now() - breaks.at:.3f}",
+            seconds=f"{clock.now() - broken.at:.3f}",
             contents=",".join(m.content.hex()[:8] for m in crash_records),
         )
         self._metrics.count("endpoint_ends")
-        news = self._suspicion.add(crash_records, clock.now())
-        self._note_condemned()
-        if news:
-            self._tell(facts.Suspects(tuple(news)))
+        changed = self._suspicion.add(crash_records, clock.now())
+        self._update_blocked()
+        if changed:
+            self._announce(facts.Suspects(tuple(changed)))
 
-    def _note_condemned(self) -> None:
+    def _update_blocked(self) -> None:
         """Logs what came to be condemned, or is so no longer."""
-        condemned = frozenset(self._suspicion.list_blocked())
-        for content in condemned - self._condemned:
+        blocked = frozenset(self._suspicion.list_blocked())
+        for content in blocked - self._blocked:
             crash_records = self._suspicion.list_crash_records(content)
             logs.event(
                 _LOG,
@@ -269,84 +272,92 @@
             self._metrics.count("contents", outcome="condemned")
             if content in self._answered:
                 self._background_tasks.start(self._exempt(content))
-        for content in self._condemned - condemned:
+        for content in self._blocked - blocked:
             logs.event(_LOG, "content_released", content=content.hex())
             self._metrics.count("contents", outcome="released")
-        self._condemned = condemned
-        self._tried = {c: t for c, t in self._tried.items() if c in condemned}
+        self._blocked = blocked
+        self._probed_at = {
+            c: t for c, t in self._probed_at.items() if c in blocked
+        }
 
     async def _exempt(self, content: bytes) -> None:
         """Tells that a content was answered here, unless others do."""
-        await asyncio.sleep(random.uniform(0, _EXCUSE_SECONDS))
-        news = self._suspicion.exempt((content,), clock.now())
-        if news:
+        await asyncio.sleep(random.uniform(0, _EXEMPT_JITTER_SECONDS))
+        changed = self._suspicion.exempt((content,), clock.now())
+        if changed:
             logs.event(_LOG, "content_is_common", content=content.hex())
-            self._note_condemned()
-            self._tell(facts.Suspects(common=tuple(news)))
+            self._update_blocked()
+            self._announce(facts.Suspects(common=tuple(changed)))
 
     # Between instances
 
-    def apply(self, told: facts.Suspects) -> None:
+    def apply(self, message: facts.Suspects) -> None:
         """Takes in what another instance tells."""
         now = clock.now()
-        self._suspicion.clear(told.cleared, now)
-        self._suspicion.exempt(told.common, now)
-        if self._suspicion.add(told.crash_records, now):
+        self._suspicion.clear(message.cleared, now)
+        self._suspicion.exempt(message.common, now)
+        if self._suspicion.add(message.crash_records, now):
             # As the lease's holder, for those whom the sender does not know.
-            self._told_at = 0.0
-        self._note_condemned()
+            self._announced_at = 0.0
+        self._update_blocked()
 
-    def _tell(self, told: facts.Suspects) -> None:
-        self._background_tasks.start(self._repeat(told))
+    def _announce(self, message: facts.Suspects) -> None:
+        self._background_tasks.start(self._announce_repeatedly(message))
 
-    async def _repeat(self, told: facts.Suspects) -> None:
-        for pause in _REPEATS:
+    async def _announce_repeatedly(self, message: facts.Suspects) -> None:
+        for pause in _ANNOUNCE_PAUSES_SECONDS:
             await asyncio.sleep(pause)
-            self._spread(told)
-
-    def _spread(self, told: facts.Suspects) -> None:
-        most = max(len(told.crash_records), len(told.cleared), len(told.common))
-        for i in range(0, most, _PART):
-            part = facts.Suspects(
-                told.crash_records[i : i + _PART],
-                told.cleared[i : i + _PART],
-                told.common[i : i + _PART],
+            self._broadcast(message)
+
+    def _broadcast(self, message: facts.Suspects) -> None:
+        longest = max(
+            len(message.crash_records),
+            len(message.cleared),
+            len(message.common),
+        )
+        for i in range(0, longest, _MAX_RECORDS_PER_DATAGRAM):
+            chunk = facts.Suspects(
+                message.crash_records[i : i + _MAX_RECORDS_PER_DATAGRAM],
+                message.cleared[i : i + _MAX_RECORDS_PER_DATAGRAM],
+                message.common[i : i + _MAX_RECORDS_PER_DATAGRAM],
             )
-            self._peer_broadcast.spread(part)
+            self._peer_broadcast.spread(chunk)
 
-    def _tell_again(self) -> None:
+    def _reannounce(self) -> None:
         """Tells what others may have missed."""
         now = clock.now()
-        if now - self._told_at < _TELL_SECONDS:
+        if now - self._announced_at < _REANNOUNCE_PERIOD_SECONDS:
             return
-        self._told_at = now
-        contents = self._suspicion.list_open(now - _OPEN_SECONDS)
+        self._announced_at = now
+        contents = self._suspicion.list_open(now - _REANNOUNCE_WINDOW_SECONDS)
         crash_records = [
             m for c in contents for m in self._suspicion.list_crash_records(c)
         ]
-        cleared = self._suspicion.list_cleared()[-_PART:]
+        cleared = self._suspicion.list_cleared()[-_MAX_RECORDS_PER_DATAGRAM:]
         if crash_records or cleared:
-            self._spread(facts.Suspects(tuple(crash_records), tuple(cleared)))
+            self._broadcast(
+                facts.Suspects(tuple(crash_records), tuple(cleared))
+            )
 
     # The lease's holder
 
     def begin_term(self) -> None:
         """Has the store read, because what it holds may not be known here."""
-        self._kept.begin_term()
-        self._told_at = 0.0
+        self._blocked_contents.begin_term()
+        self._announced_at = 0.0
 
     async def run(self) -> None:
         """Forgets, and as the lease's holder tells and keeps, for ever."""
-        self._background_tasks.start(self._kept.read_at_start())
+        self._background_tasks.start(self._blocked_contents.read_at_start())
         while True:
             await asyncio.sleep(_STEP_SECONDS)
             if self._suspicion.forget(clock.now()):
-                self._note_condemned()
+                self._update_blocked()
             if not self._leadership.is_held:
                 continue
-            self._tell_again()
+            self._reannounce()
             try:
-                await self._keep()
+                await self._sync_store()
             except errors.ObjectError as e:
                 logs.event(
                     _LOG,
@@ -355,19 +366,21 @@
                     reason=e.reason,
                 )
 
-    async def _keep(self) -> None:
+    async def _sync_store(self) -> None:
         """Keeps in the store what is condemned; reads it first in a term."""
-        if await self._kept.read():
+        if await self._blocked_contents.read():
             # Whoever started with us is to hear of it at once.
-            self._told_at = 0.0
-            self._tell_again()
-        await self._kept.keep(
-            self._condemned, self._suspicion.list_crash_records
+            self._announced_at = 0.0
+            self._reannounce()
+        await self._blocked_contents.sync(
+            self._blocked, self._suspicion.list_crash_records
         )
 
-    def _learn(self, crash_records: Iterable[suspicion.CrashRecord]) -> None:
+    def _add_records(
+        self, crash_records: Iterable[suspicion.CrashRecord]
+    ) -> None:
         self._suspicion.add(crash_records, clock.now())
-        self._note_condemned()
+        self._update_blocked()
 
     def close(self) -> None:
         """Ends what is still to be told or looked at."""
@@ -381,7 +394,7 @@
             found.append(
                 {
                     "content": content.hex(),
-                    "is_condemned": content in self._condemned,
+                    "is_condemned": content in self._blocked,
                     "depth": self._suspicion.find_depth(content),
                     "ends": sorted({m.endpoint for m in crash_records}),
                     "attempts": sum(m.attempts for m in crash_records),
--- a/src/wayslip/gateway/quota_accounts.py
+++ b/src/wayslip/gateway/quota_accounts.py
@@ -17,12 +17,12 @@
 
 # Organisations told of with one state, those with the least left first; each
 # takes some 20 bytes of it.
-_WORDS_MOST = 200
+_MAX_LEVELS = 200
 # An instance that was silent for this long is charged what it last sent on, as
 # it may be cut off and go on, seconds.
-_SILENT_SECONDS = 0.6
+_UNRESPONSIVE_SECONDS = 0.6
 # After this it has stopped, or comes back with its sums, seconds.
-_GONE_SECONDS = 5.0
+_REMOVAL_SECONDS = 5.0
 
 
 @dataclasses.dataclass
@@ -44,7 +44,7 @@
 
     process: str
     number: int
-    heard: float
+    received_at: float
     accounts: dict[str, _Account]
     rates: demand_module.Rates[str]
 
@@ -76,11 +76,11 @@
         self._began_at = now
         self._members.clear()
         self._levels = {
-            name: quota_module.Level(word.level, now)
-            for name, word in self._limiter.words.items()
+            name: quota_module.Level(quota_level.level, now)
+            for name, quota_level in self._limiter.words.items()
         }
-        for name, word in self._limiter.words.items():
-            self._demand.set(name, word.demand, now)
+        for name, quota_level in self._limiter.words.items():
+            self._demand.set(name, quota_level.demand, now)
 
     def record_report(self, report: facts.Report) -> None:
         """Takes in an instance's sums."""
@@ -92,13 +92,13 @@
             self._members[report.instance] = member
         if report.number <= member.number:
             return
-        member.number, member.heard = report.number, now
-        told = {s.organisation: s for s in report.spendings}
+        member.number, member.received_at = report.number, now
+        announced = {s.organisation: s for s in report.spendings}
         for name, account in member.accounts.items():
-            if name not in told and account.assumed:
+            if name not in announced and account.assumed:
                 self._spend(name, -account.assumed, now)
                 account.assumed = 0.0
-        for name, spending in told.items():
+        for name, spending in announced.items():
             self._charge(member, name, spending, now)
 
     def _charge(
@@ -121,10 +121,10 @@
     def _spend(self, name: str, units: float, now: float) -> None:
         level = self._levels.get(name)
         if level is None:
-            level = quota_module.Level(self._find_start(name, now), now)
+            level = quota_module.Level(self._find_initial_units(name, now), now)
         self._levels[name] = level.spend(units)
 
-    def _find_start(self, name: str, now: float) -> float:
+    def _find_initial_units(self, name: str, now: float) -> float:
         """Returns the level of an organisation that nobody told of.
 
         While others are told of, it has its whole burst. Where nothing is
@@ -149,7 +149,7 @@
     def list_levels(self) -> tuple[facts.Level, ...]:
         """Returns what is told of the levels now."""
         now = clock.now()
-        self._charge_silent(now)
+        self._charge_unresponsive(now)
         quotas = self._quotas()
         self._levels = {n: v for n, v in self._levels.items() if n in quotas}
         found = []
@@ -166,12 +166,12 @@
                 )
             )
         found.sort(key=lambda pair: pair[0])
-        return tuple(level for _, level in found[:_WORDS_MOST])
+        return tuple(level for _, level in found[:_MAX_LEVELS])
 
-    def should_announce(self, told: Iterable[facts.Level]) -> bool:
+    def should_announce(self, announced: Iterable[facts.Level]) -> bool:
         """Whether an organisation has come to its limit since that was told."""
         now = clock.now()
-        before = {level.organisation: level.level for level in told}
+        before = {level.organisation: level.level for level in announced}
         for name, quota in self._quotas().items():
             level = self._levels.get(name)
             if level is None:
@@ -184,19 +184,21 @@
                 return True
         return False
 
-    def _charge_silent(self, now: float) -> None:
+    def _charge_unresponsive(self, now: float) -> None:
         """Charges instances that are not heard what they may send on."""
         elapsed = now - self._settled_at
         self._settled_at = now
         for instance, member in list(self._members.items()):
-            silence = now - member.heard
-            if silence > _GONE_SECONDS:
+            silence = now - member.received_at
+            if silence > _REMOVAL_SECONDS:
                 del self._members[instance]
-            elif silence > _SILENT_SECONDS:
-                self._assume(member, elapsed, now)
+            elif silence > _UNRESPONSIVE_SECONDS:
+                self._charge_assumed(member, elapsed, now)
 
-    def _assume(self, member: _Member, seconds: float, now: float) -> None:
+    def _charge_assumed(
+        self, member: _Member, seconds: float, now: float
+    ) -> None:
         for name, account in member.accounts.items():
-            units = member.rates.get(name, member.heard) * seconds
+            units = member.rates.get(name, member.received_at) * seconds
             account.assumed += units
             self._spend(name, units, now)
--- a/src/wayslip/gateway/records.py
+++ b/src/wayslip/gateway/records.py
@@ -77,9 +77,14 @@
         content = bytes.fromhex(name)
         crash_records = tuple(
             suspicion.CrashRecord(
-                content, str(end), int(born), int(depth), str(name), int(count)
+                content,
+                str(endpoint),
+                int(born),
+                int(depth),
+                str(name),
+                int(count),
             )
-            for end, born, depth, name, count in spec["ends"]
+            for endpoint, born, depth, name, count in spec["ends"]
         )
     except (KeyError, TypeError, ValueError) as e:
         raise _malformed(name, e) from e
--- a/src/wayslip/gateway/renewal_timeout.py
+++ b/src/wayslip/gateway/renewal_timeout.py
@@ -8,7 +8,7 @@
 _LOG = logging.getLogger(__name__)
 # Renewals without an answer for so long let another instance plan, seconds:
 # two of them, and less than what is left of the lease.
-_DOUBT_SECONDS = 0.6
+_TIMEOUT_SECONDS = 0.6
 
 
 class RenewalTimeout:
@@ -32,7 +32,7 @@
         """Begins with a renewal, unless an earlier one is unanswered."""
         if self._timer is None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(_DOUBT_SECONDS, self.expire)
+            self._timer = loop.call_later(_TIMEOUT_SECONDS, self.expire)
 
     def expire(self) -> None:
         """Has the lease yielded, because its renewals are not answered."""
--- a/src/wayslip/gateway/tracked_engines.py
+++ b/src/wayslip/gateway/tracked_engines.py
@@ -11,10 +11,10 @@
 Item = fleet.Item
 # Reports are some hundred milliseconds old. One that still tells of fewer
 # orders after this shows that we counted one too many, seconds.
-_REPORT_LAG_MOST = 2.0
+_MAX_REPORT_LAG_SECONDS = 2.0
 # An order without an answer may be carried out so much later, seconds: engines
 # take up to 12, and a report is some hundred milliseconds old.
-_LATE_MOST = 14.0
+_MAX_ORDER_DELAY_SECONDS = 14.0
 
 
 @dataclasses.dataclass
@@ -41,9 +41,9 @@
             neither the list nor a report shows them.
         ready_at: When models that are loading are expected to serve.
         loaded_at: When models finished loading.
-        had: Adapters that it has held before.
-        adapter_at: When adapters were loaded for a request.
-        rests_until: When it may be planned for again after a failure.
+        previously_held: Adapters that it has held before.
+        adapter_loaded_at: When adapters were loaded for a request.
+        backoff_until: When it may be planned for again after a failure.
         pending: The order whose effect is not known yet.
         abandoned: An order that was given up on. It may still arrive, and is
             charged until the engine's count has passed it.
@@ -66,9 +66,11 @@
     withdrawn: set[Item] = dataclasses.field(default_factory=set)
     ready_at: dict[str, float] = dataclasses.field(default_factory=dict)
     loaded_at: dict[str, float] = dataclasses.field(default_factory=dict)
-    had: set[Item] = dataclasses.field(default_factory=set)
-    adapter_at: dict[Item, float] = dataclasses.field(default_factory=dict)
-    rests_until: float = 0.0
+    previously_held: set[Item] = dataclasses.field(default_factory=set)
+    adapter_loaded_at: dict[Item, float] = dataclasses.field(
+        default_factory=dict
+    )
+    backoff_until: float = 0.0
     pending: lease.Pending | None = None
     abandoned: lease.Pending | None = None
     unanswered: list[tuple[lease.Pending, float]] = dataclasses.field(
@@ -127,22 +129,22 @@
         """Takes in the engine's entry in the list."""
         self.endpoint = endpoint
         self.listed_at = now
-        self.had |= {i for i in self.listed() if i[1]}
+        self.previously_held |= {i for i in self.listed() if i[1]}
         self._forget_withdrawn()
         self.changed.set()
 
     def apply_report(self, state: fleet.EngineState, now: float) -> bool:
         """Takes in a report; returns whether it was new enough."""
-        if not self._is_of_this_start(state):
+        if not self._is_same_incarnation(state):
             # Until the entry of a later start comes, nothing that is planned
             # is meant for it.
             self.is_certain &= state.born < self.endpoint.born
             return False
-        is_old = now - self.counted_at < _REPORT_LAG_MOST
+        is_old = now - self.counted_at < _MAX_REPORT_LAG_SECONDS
         if state.orders < self.least_orders and is_old:
             return False
         self.least_orders = state.orders
-        self._pass_stray(state.orders)
+        self._clear_abandoned(state.orders)
         self.inherited = tuple(
             (order, until)
             for order, until in self.inherited
@@ -150,17 +152,19 @@
         )
         self.reported_at = now
         known = self.inventory if self.is_certain else None
-        read = inventory_module.update(known, state)
-        self.is_certain = read is not None
-        if read is None or read is known:
+        latest = inventory_module.update(known, state)
+        self.is_certain = latest is not None
+        if latest is None or latest is known:
             return True
-        self.inventory = read
-        self.added = {i: t for i, t in self.added.items() if i in read.arriving}
-        self.withdrawn -= read.in_place
+        self.inventory = latest
+        self.added = {
+            i: t for i, t in self.added.items() if i in latest.arriving
+        }
+        self.withdrawn -= latest.in_place
         self._forget_withdrawn()
         return True
 
-    def _is_of_this_start(self, state: fleet.EngineState) -> bool:
+    def _is_same_incarnation(self, state: fleet.EngineState) -> bool:
         born = self.endpoint.born
         return not born or not state.born or born == state.born
 
@@ -173,7 +177,7 @@
 
     def note_unanswered(self, order: lease.Pending, now: float) -> None:
         """Notes that an order got no answer and may be carried out late."""
-        limit = now - _LATE_MOST
+        limit = now - _MAX_ORDER_DELAY_SECONDS
         self.unanswered = [(o, at) for o, at in self.unanswered if at > limit]
         self.unanswered.append((order, now))
 
@@ -185,11 +189,11 @@
         It holds nothing and counts from zero, so an order for the start before
         that comes late names a count that is reached once more.
         """
-        late = [(o, at + _LATE_MOST) for o, at in self.unanswered]
+        late = [(o, at + _MAX_ORDER_DELAY_SECONDS) for o, at in self.unanswered]
         if self.pending is not None:
-            late.append((self.pending, now + _LATE_MOST))
+            late.append((self.pending, now + _MAX_ORDER_DELAY_SECONDS))
         if self.abandoned is not None:
-            late.append((self.abandoned, now + _LATE_MOST))
+            late.append((self.abandoned, now + _MAX_ORDER_DELAY_SECONDS))
         late += self.inherited
         tracked_engine = TrackedEngine(endpoint, inherited=tuple(late))
         tracked_engine.apply_entry(endpoint, now)
@@ -246,12 +250,12 @@
         count = order.orders + 1
         self.least_orders = max(count, self.least_orders)
         self.counted_at = now
-        self._pass_stray(count)
+        self._clear_abandoned(count)
         known = self.inventory
         if known is None or known.orders < self.least_orders:
             self.is_certain = False
 
-    def _pass_stray(self, count: int) -> None:
+    def _clear_abandoned(self, count: int) -> None:
         if self.abandoned is not None and count > self.abandoned.orders:
             self.abandoned = None
 
@@ -273,13 +277,15 @@
             the ages of the last report and of the entry, seconds.
         """
         return {
-            "room": " ".join(self._mark(i) for i in sorted(self.charged())),
+            "room": " ".join(
+                self._format_item(i) for i in sorted(self.charged())
+            ),
             "certain": str(self.is_certain),
             "report_age": f"{now - self.reported_at:.2f}",
             "entry_age": f"{now - self.listed_at:.2f}",
         }
 
-    def _mark(self, item: Item) -> str:
+    def _format_item(self, item: Item) -> str:
         model, adapter = item
         name = f"{model}/{adapter}" if adapter else model
         known = self.inventory
--- a/tests/gateway/test_adapters.py
+++ b/tests/gateway/test_adapters.py
@@ -16,41 +16,41 @@
         return True
 
 
-def fill(weights_mb, words=None):
+def preload(weights_mb, notices=None):
     """Returns how many loads are started on an engine that holds 100 MB."""
     model = manifest.Model("m1", 100.0, 10.0, ("a1",), 1.0, 1.0, 1.0)
     pool = manifest.Pool(8, 1000, weights_mb, 2, 1.0, {"m1": model})
-    tracked_engine = test_order_sender.make_book("m1")
+    tracked_engine = test_order_sender.make_tracked_engine("m1")
     started = []
     loader = adapters.Adapters(
         OrderSender(),
         members.Members(),
         started.append,
         lambda: None,
-        words=words,
+        notices=notices,
     )
-    loader.fill("s", pool, [tracked_engine])
+    loader.preload("s", pool, [tracked_engine])
     for work in started:
         work.close()
     return len(started)
 
 
 def test_adapter_is_loaded_ahead_where_there_is_room():
-    assert fill(110.0) == 1
+    assert preload(110.0) == 1
 
 
-def test_series_that_can_only_end_at_once_is_not_started():
+def test_load_that_does_not_fit_is_not_started():
     # Its end woke the planner, which started it again: the process took all
     # of its processor time until something else changed (bellandi trouble-3,
     # seed 2, after all instances were killed).
-    assert fill(109.0) == 0
+    assert preload(109.0) == 0
 
 
-def test_adapter_is_not_loaded_ahead_on_an_engine_that_names_a_limit():
+def test_adapter_is_not_loaded_ahead_on_a_rate_limited_engine():
     # Its orders and reports take the places that requests need.
-    words = endpoint_notices_module.EndpointNotices()
-    start = test_order_sender.make_book("m1").endpoint.start
-    words.note_limit(start, 1.0, 0.0)
-    assert fill(110.0, words) == 0
-    words.note_limit(start, None, float("inf"))
-    assert fill(110.0, words) == 1
+    notices = endpoint_notices_module.EndpointNotices()
+    start = test_order_sender.make_tracked_engine("m1").endpoint.start
+    notices.note_limit(start, 1.0, 0.0)
+    assert preload(110.0, notices) == 0
+    notices.note_limit(start, None, float("inf"))
+    assert preload(110.0, notices) == 1
--- a/tests/gateway/test_deadly_requests.py
+++ b/tests/gateway/test_deadly_requests.py
@@ -31,13 +31,13 @@
 from wayslip.gateway import facts
 from wayslip.gateway import records
 
-DEADLY = b"deadly"
+POISON = b"deadly"
 # Nobody who is refused should take an engine with it after so many ends.
-MOST_ENDS = 3
+MAX_CRASHES = 3
 
 
-async def end_under_deadly(engine, request, line):
-    if request.body == DEADLY:
+async def crash_on_poison(engine, request, line):
+    if request.body == POISON:
         engine.crash()
         return
     await platform_engine.answer_whole(engine, request, line)
@@ -59,21 +59,21 @@
 
 async def add_engines(system, count):
     return [
-        await system.add(f"e{n}", "plain", script=end_under_deadly)
+        await system.add(f"e{n}", "plain", script=crash_on_poison)
         for n in range(count)
     ]
 
 
 @harness.run
-async def test_request_that_ends_engines_stops_reaching_them(system):
+async def test_poison_request_is_blocked_at_all_instances(system):
     engines = await add_engines(system, 8)
     other = await system.join("g2")
     gateways = [system.gateway, other]
     answers = []
     for n in range(10):
-        answers.append(await ask(system, gateways[n % 2], f"r{n}", DEADLY))
+        answers.append(await ask(system, gateways[n % 2], f"r{n}", POISON))
         await asyncio.sleep(0.1)
-    assert sum(e.is_ended for e in engines) <= MOST_ENDS
+    assert sum(e.is_ended for e in engines) <= MAX_CRASHES
     assert answers[-1].status == 503
     assert float(answers[-1].headers["retry-after"]) > 0
     for n, gateway in enumerate(gateways):
@@ -81,53 +81,53 @@
         assert served.status == 200
 
 
-def has_condemned(gateway):
+def has_blocked(gateway):
     return any(s["is_condemned"] for s in gateway._quarantine.dump())
 
 
-async def condemn(system, gateway):
+async def block_poison(system, gateway):
     """Sends the deadly request until it is condemned everywhere."""
     for n in range(2):
-        await ask(system, gateway, f"c{n}", DEADLY)
+        await ask(system, gateway, f"c{n}", POISON)
         await system.until(lambda: gateway._quarantine)
-    await system.until(lambda: has_condemned(gateway))
+    await system.until(lambda: has_blocked(gateway))
 
 
 @harness.run
-async def test_request_is_kept_away_after_all_instances_were_killed(system):
+async def test_block_survives_a_crash_of_all_instances(system):
     engines = await add_engines(system, 4)
-    await condemn(system, system.gateway)
+    await block_poison(system, system.gateway)
     stored = system.store.objects
     await system.until(lambda: stored.get(records.SUSPECT.name))
     await system.kill(system.gateway)
     options = harness.make_options("g1", system.options.store)
     system.gateway = system._launch(options)
     await system.until(system.gateway.is_ready)
-    await system.until(lambda: has_condemned(system.gateway))
-    answer = await ask(system, system.gateway, "r1", DEADLY)
+    await system.until(lambda: has_blocked(system.gateway))
+    answer = await ask(system, system.gateway, "r1", POISON)
     assert answer.status == 503
     assert sum(e.is_ended for e in engines) == 2
 
 
 @harness.run
-async def test_instance_that_joins_hears_what_is_condemned(system):
+async def test_joining_instance_receives_blocked_contents(system):
     engines = await add_engines(system, 4)
-    await condemn(system, system.gateway)
+    await block_poison(system, system.gateway)
     other = await system.join("g2")
-    await system.until(lambda: has_condemned(other))
-    answer = await ask(system, other, "r1", DEADLY)
+    await system.until(lambda: has_blocked(other))
+    answer = await ask(system, other, "r1", POISON)
     assert answer.status == 503
     assert sum(e.is_ended for e in engines) == 2
 
 
 @harness.run
-async def test_engine_that_only_broke_off_puts_nobody_under_suspicion(system):
+async def test_connection_reset_causes_no_suspicion(system):
     async def reset(engine, request, line):
         line.reset()
 
     await system.add("e1", "plain", script=reset)
     for n in range(3):
-        answer = await ask(system, system.gateway, f"r{n}", DEADLY)
+        answer = await ask(system, system.gateway, f"r{n}", POISON)
         assert answer.status == 502
     await asyncio.sleep(0.1)
     assert not system.gateway._quarantine
@@ -135,17 +135,17 @@
 
 @harness.run
 async def test_request_that_another_engine_answers_is_cleared(system):
-    answers_deadly = asyncio.Event()
+    has_crashed = asyncio.Event()
 
-    async def end_once(engine, request, line):
-        if not answers_deadly.is_set():
-            answers_deadly.set()
+    async def crash_once(engine, request, line):
+        if not has_crashed.is_set():
+            has_crashed.set()
             engine.crash()
             return
         await platform_engine.answer_whole(engine, request, line)
 
     for n in range(3):
-        await system.add(f"e{n}", "plain", script=end_once)
+        await system.add(f"e{n}", "plain", script=crash_once)
     assert (await ask(system, system.gateway, "r1", b"mild")).status == 502
     await system.until(lambda: system.gateway._quarantine)
     assert (await ask(system, system.gateway, "r2", b"mild")).status == 200
@@ -153,8 +153,8 @@
 
 
 @harness.run
-async def test_planned_end_of_an_engine_puts_nobody_under_suspicion(system):
-    engine = await system.add("e1", "plain", script=end_under_deadly)
+async def test_planned_stop_of_an_engine_causes_no_suspicion(system):
+    engine = await system.add("e1", "plain", script=crash_on_poison)
     tracked = system.gateway.view.tracked["e1"]
     address = tracked.endpoint.address
     leaving = platform_site.entry("plain", address, state="draining", seq=78)
@@ -169,16 +169,16 @@
 
 
 @harness.run
-async def test_requests_that_may_be_repeated_end_no_more_engines(system):
+async def test_idempotent_poison_request_crashes_no_more_engines(system):
     engines = await add_engines(system, 6)
     for n in range(4):
-        await ask(system, system.gateway, f"r{n}", DEADLY, "/get/a")
+        await ask(system, system.gateway, f"r{n}", POISON, "/get/a")
         await asyncio.sleep(0.1)
-    assert sum(e.is_ended for e in engines) <= MOST_ENDS
+    assert sum(e.is_ended for e in engines) <= MAX_CRASHES
 
 
 @harness.run
-async def test_word_of_an_end_survives_lost_datagrams(system):
+async def test_crash_notice_survives_lost_datagrams(system):
     await add_engines(system, 4)
     other = await system.join("g2")
     send = system.gateway._hub._send
@@ -192,7 +192,7 @@
         send(data, address)
 
     system.gateway._hub._send = lose_first
-    await ask(system, system.gateway, "r1", DEADLY)
+    await ask(system, system.gateway, "r1", POISON)
     await system.until(lambda: other._quarantine)
     assert lost
 
@@ -203,9 +203,9 @@
 
 
 @harness.run
-async def test_operators_see_and_lift_what_is_condemned(system):
+async def test_operators_list_and_lift_blocked_contents(system):
     await add_engines(system, 4)
-    await condemn(system, system.gateway)
+    await block_poison(system, system.gateway)
     listed = await run_ctl(system, "suspects")
     assert listed.returncode == 0, listed.stderr
     content = system.gateway.dump()["suspects"][0]["content"]
@@ -218,7 +218,7 @@
 
 
 @harness.run
-async def test_lift_of_what_is_not_known_names_the_remedy(system):
+async def test_lift_of_an_unknown_content_names_the_remedy(system):
     unknown = await run_ctl(system, "lift", "ab12")
     assert unknown.returncode == 2
     assert "wayslipctl suspects" in unknown.stderr
@@ -228,23 +228,25 @@
 
 
 @harness.run
-async def test_common_request_is_no_suspect_where_engines_end_together(system):
-    ends = asyncio.Event()
+async def test_common_request_is_not_blocked_when_engines_crash_together(
+    system,
+):
+    is_released = asyncio.Event()
 
-    async def wait_for_the_end(engine, request, line):
-        if request.body == b"common" and not ends.is_set():
+    async def wait_for_release(engine, request, line):
+        if request.body == b"common" and not is_released.is_set():
             await line.reader.read(1)
             return
         await platform_engine.answer_whole(engine, request, line)
 
-    ends.set()
+    is_released.set()
     engines = [
-        await system.add(f"e{n}", "plain", script=wait_for_the_end)
+        await system.add(f"e{n}", "plain", script=wait_for_release)
         for n in range(4)
     ]
     asked = await ask(system, system.gateway, "r0", b"common")
     assert asked.status == 200
-    ends.clear()
+    is_released.clear()
     tasks = [
         asyncio.create_task(ask(system, system.gateway, f"r{n}", b"common"))
         for n in range(1, 13)
@@ -252,7 +254,7 @@
     await system.until(lambda: sum(len(e.received) for e in engines) == 13)
     for engine in engines[:3]:
         engine.crash()
-    ends.set()
+    is_released.set()
     await asyncio.sleep(0.2)
     for task in tasks:
         task.cancel()
@@ -261,14 +263,14 @@
 
 
 @harness.run
-async def test_three_attempts_at_the_first_engine_that_ends_are_enough(system):
+async def test_three_attempts_at_one_crashed_engine_block_a_request(system):
     # On a day on which 0.4 of a route's requests were the same one, three were
     # at the first engine as it ended, and eight more were sent to the others
     # until the next one ended 5 s later.
     is_full = asyncio.Event()
 
     async def end_when_full(engine, request, line):
-        if request.body != DEADLY:
+        if request.body != POISON:
             await platform_engine.answer_whole(engine, request, line)
             return
         await is_full.wait()
@@ -276,21 +278,21 @@
 
     engine = await system.add("e0", "plain", script=end_when_full)
     tasks = [
-        asyncio.create_task(ask(system, system.gateway, f"r{n}", DEADLY))
+        asyncio.create_task(ask(system, system.gateway, f"r{n}", POISON))
         for n in range(3)
     ]
     await system.until(lambda: len(engine.received) == 3)
     other = await system.add("e1", "plain", script=end_when_full)
     is_full.set()
     assert {a.status for a in await asyncio.gather(*tasks)} == {502}
-    await system.until(lambda: has_condemned(system.gateway))
-    answer = await ask(system, system.gateway, "r9", DEADLY)
+    await system.until(lambda: has_blocked(system.gateway))
+    answer = await ask(system, system.gateway, "r9", POISON)
     assert answer.status == 503
     assert not other.is_ended
 
 
 @harness.run
-async def test_answer_to_a_trial_clears_a_condemned_request(
+async def test_answer_to_a_probe_clears_a_blocked_request(
     system,
 ):
     await system.until(lambda: system.gateway.leadership.is_held)
@@ -303,7 +305,7 @@
     await system.until(lambda: len(engine.received) == 3)
     engine.crash()
     await asyncio.gather(*tasks)
-    await system.until(lambda: has_condemned(system.gateway))
+    await system.until(lambda: has_blocked(system.gateway))
     await system.add("e2", "plain")
     refused = await ask(system, system.gateway, "r8", b"mild")
     assert refused.status == 503
@@ -314,7 +316,7 @@
 
 
 @harness.run
-async def test_one_request_in_a_while_is_tried(system):
+async def test_one_probe_is_sent_in_a_period(system):
     await system.until(lambda: system.gateway.leadership.is_held)
     quarantine = system.gateway._quarantine
     quarantine.apply(
@@ -328,7 +330,7 @@
 
 
 @harness.run
-async def test_who_saw_it_answered_has_a_common_request_excused(system):
+async def test_instance_that_saw_an_answer_exempts_the_content(system):
     quarantine = system.gateway._quarantine
     quarantine.note_answer(b"c")
     quarantine.apply(
@@ -340,15 +342,15 @@
 
 
 @harness.run
-async def test_who_knows_no_peers_yet_tells_the_holder(system):
+async def test_instance_without_peers_announces_to_the_holder(system):
     # All gateways had just started. One saw two engines end under a request and
     # knew no peers to tell, so two more ended: soak seed 2106.
     other = await system.join("g2")
     third = await system.join("g3")
     gateways = [system.gateway, other, third]
     holder = next(g for g in gateways if g.leadership.is_held)
-    announcer, hearer = (g for g in gateways if g is not holder)
+    announcer, follower = (g for g in gateways if g is not holder)
     crash_records = [suspicion.CrashRecord(b"c", "e1", attempts=3)]
     with mock.patch.object(announcer._peer_broadcast._members, "peers", list):
-        announcer._quarantine._tell(facts.Suspects(tuple(crash_records)))
-        await system.until(lambda: hearer._quarantine.is_blocked(b"c"))
+        announcer._quarantine._announce(facts.Suspects(tuple(crash_records)))
+        await system.until(lambda: follower._quarantine.is_blocked(b"c"))
--- a/tests/gateway/test_detached_operation.py
+++ b/tests/gateway/test_detached_operation.py
@@ -13,35 +13,35 @@
 
 
 def report(instance, echo=(1, 5_000_000), **fields):
-    told = facts.Report(instance, "h", "p", 1, True, (), (), *echo)
-    return dataclasses.replace(told, **fields)
+    base = facts.Report(instance, "h", "p", 1, True, (), (), *echo)
+    return dataclasses.replace(base, **fields)
 
 
 def source(number):
     return ("10.0.0.1", number)
 
 
-def test_words_in_answer_to_another_holder_do_not_count():
+def test_answers_to_another_holder_do_not_count():
     members = members_module.Members()
     members.take(report("g2", is_cut_off=True), source(2), set())
     members.take(
         report("g3", (2, 7_000_000), is_cut_off=True), source(3), set()
     )
-    words = members.list_words(2, "10.0.0.1:1")
-    assert words == [
+    statuses = members.list_words(2, "10.0.0.1:1")
+    assert statuses == [
         detachment.PeerStatus(float("-inf"), True),
         detachment.PeerStatus(7.0, True),
     ]
 
 
-def test_own_word_and_those_of_stopping_instances_are_left_out():
+def test_own_and_stopping_instances_are_left_out():
     members = members_module.Members()
     members.take(report("g1"), source(1), set())
     members.take(report("g2", is_leaving=True), source(2), set())
     assert members.list_words(1, "10.0.0.1:1") == []
 
 
-def test_silent_instance_is_missed_unless_it_said_that_it_stops(monkeypatch):
+def test_unresponsive_instance_is_missing_unless_it_was_stopping(monkeypatch):
     members = members_module.Members()
     members.take(report("g2"), source(2), set())
     members.take(report("g3", is_leaving=True), source(3), set())
@@ -50,12 +50,12 @@
     assert members.list_missing() == [fanout.Peer("10.0.0.1:2", "h")]
     members.forget_missing()
     assert members.list_missing()
-    monkeypatch.setattr(detachment, "MISSING", 0.0)
+    monkeypatch.setattr(detachment, "MISSING_SECONDS", 0.0)
     members.forget_missing()
     assert not members.list_missing()
 
 
-def test_new_holder_misses_whom_it_was_told_of():
+def test_new_holder_lists_announced_peers_as_missing():
     # It may be one that took the lease after ours, unheard.
     members = members_module.Members()
     members.adopt_peers((("10.0.0.1:2", "h"),))
@@ -76,7 +76,7 @@
 
 
 @harness.run
-async def test_models_are_loaded_while_the_store_answers_nobody(system):
+async def test_models_are_loaded_while_the_store_is_unreachable(system):
     # For all of an outage of eight seconds nothing was loaded, and demand that
     # moved meanwhile was refused until long after it.
     engine = await system.add(
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -86,7 +86,7 @@
 
 
 @with_members
-async def test_holder_without_an_answer_is_doubtful(standin, members):
+async def test_holder_without_an_answer_is_not_valid(standin, members):
     await until(lambda: holders(members))
     holder = holders(members)[0]
     standin.faults.is_silent = True
@@ -98,7 +98,9 @@
 
 
 @with_members
-async def test_holder_that_is_cut_off_hears_of_its_successor(standin, members):
+async def test_disconnected_holder_yields_to_an_announced_successor(
+    standin, members
+):
     await until(lambda: holders(members))
     holder = holders(members)[0]
     term = holder.leadership.seen_term
@@ -132,25 +134,25 @@
 
 
 @with_members
-async def test_renewal_without_an_answer_is_repeated_before_it_is_doubted(
+async def test_unanswered_renewal_is_repeated_before_the_timeout(
     standin, members
 ):
     # Lost answers let the lease change hands five times in ten seconds, and
     # after each change engines rest (hbmaa-grown trouble-3).
     await until(lambda: holders(members))
     holder = holders(members)[0]
-    doubts = []
-    holder.leadership._renewal_timeout.expire = lambda: doubts.append(1)
+    expirations = []
+    holder.leadership._renewal_timeout.expire = lambda: expirations.append(1)
     revision = holder.leadership.revision
     standin.faults.mutes_writes = 1
     await until(lambda: not standin.faults.mutes_writes)
     await until(lambda: holder.leadership.revision > revision + 1)
-    assert not doubts
+    assert not expirations
     assert sum(m.taken for m in members) == 1
 
 
 @with_members
-async def test_holder_that_lost_the_lease_does_not_write_over_its_successor(
+async def test_former_holder_does_not_overwrite_its_successors_lease(
     standin, members
 ):
     # A holder that stopped or was followed went on to renew, on the record of
--- a/tests/gateway/test_order_sender.py
+++ b/tests/gateway/test_order_sender.py
@@ -21,7 +21,7 @@
 M1, M2, M3 = ("m1", ""), ("m2", ""), ("m3", "")
 
 
-def make_book(*models, **fields):
+def make_tracked_engine(*models, **fields):
     entry = fleet.Endpoint(
         "e1", "s", "127.0.0.1:1", "h", models={m: frozenset() for m in models}
     )
@@ -46,9 +46,9 @@
     return lease.Pending("e1", orders, lease.Action.UNLOAD, *item)
 
 
-def make_known_book(orders, *models, at=NOW, **fields):
+def make_reported_engine(orders, *models, at=NOW, **fields):
     """Returns a book that a report was taken into."""
-    tracked_engine = make_book(*models)
+    tracked_engine = make_tracked_engine(*models)
     tracked_engine.apply_report(state(orders, *models, **fields), at)
     return tracked_engine
 
@@ -56,33 +56,33 @@
 def test_report_shows_more_than_an_old_entry():
     # A holder that took over had an entry without a model that was loaded
     # since, and ordered the engine over its memory.
-    tracked_engine = make_book("m1")
+    tracked_engine = make_tracked_engine("m1")
     assert tracked_engine.apply_report(state(3, "m1", "m2"), NOW)
     assert tracked_engine.charged() == {M1, M2}
     tracked_engine.apply_entry(tracked_engine.endpoint, NOW)
     assert tracked_engine.charged() == {M1, M2}
 
 
-def test_old_report_is_not_believed():
-    tracked_engine = make_known_book(2, "m1")
+def test_outdated_report_is_ignored():
+    tracked_engine = make_reported_engine(2, "m1")
     tracked_engine.note_taken(load(2, M2), NOW)
     assert not tracked_engine.apply_report(state(2, "m1"), NOW + 1)
     assert tracked_engine.charged() == {M1, M2}
     assert tracked_engine.inventory.orders == 3
 
 
-def test_report_that_stays_behind_corrects_the_count():
-    tracked_engine = make_known_book(2, "m1")
+def test_persistently_lower_report_corrects_the_count():
+    tracked_engine = make_reported_engine(2, "m1")
     tracked_engine.note_taken(load(2, M2), NOW)
     assert tracked_engine.apply_report(state(2, "m1"), NOW + 10)
     assert tracked_engine.is_certain
     assert tracked_engine.inventory.orders == 2
 
 
-def test_old_heartbeat_does_not_free_what_was_seen():
+def test_outdated_entry_does_not_free_a_reported_item():
     # An entry of before the load came after one that showed the model, and
     # the engine was ordered over its memory (hbmaa mix --seed 996805638734).
-    tracked_engine = make_known_book(2, "m1")
+    tracked_engine = make_reported_engine(2, "m1")
     old = tracked_engine.endpoint
     tracked_engine.note_taken(load(2, M2), NOW)
     listed = {"m1": frozenset(), "m2": frozenset()}
@@ -91,10 +91,10 @@
     assert M2 in tracked_engine.charged()
 
 
-def test_old_heartbeat_does_not_end_an_unload():
+def test_outdated_entry_does_not_end_an_unload():
     # The unload was refused, or never reached the engine, and its note stood
     # until an entry of before the load: nine adapters at eight places.
-    tracked_engine = make_known_book(2, "m1", "m2")
+    tracked_engine = make_reported_engine(2, "m1", "m2")
     tracked_engine.withdrawn.add(M2)
     old = dataclasses.replace(
         tracked_engine.endpoint, models={"m1": frozenset()}
@@ -103,9 +103,9 @@
     assert M2 in tracked_engine.charged()
 
 
-def test_old_heartbeat_does_not_charge_what_is_gone():
+def test_outdated_entry_does_not_charge_an_absent_item():
     # Victims that were not there were ordered away, and counted wrongly.
-    tracked_engine = make_known_book(2, "m1")
+    tracked_engine = make_reported_engine(2, "m1")
     listed = {"m1": frozenset(), "m2": frozenset()}
     tracked_engine.apply_entry(
         dataclasses.replace(tracked_engine.endpoint, models=listed), NOW
@@ -114,8 +114,8 @@
     assert M2 not in tracked_engine.removable()
 
 
-def test_load_is_charged_until_it_shows():
-    tracked_engine = make_known_book(0, "m1")
+def test_load_is_charged_until_a_report_shows_it():
+    tracked_engine = make_reported_engine(0, "m1")
     tracked_engine.note_taken(load(0, M2), NOW)
     tracked_engine.apply_entry(tracked_engine.endpoint, NOW)
     assert M2 in tracked_engine.charged()
@@ -127,8 +127,8 @@
     assert tracked_engine.holds(M2)
 
 
-def test_unload_frees_only_what_was_seen_gone():
-    tracked_engine = make_known_book(0, "m1", "m2")
+def test_unload_frees_memory_only_after_a_report():
+    tracked_engine = make_reported_engine(0, "m1", "m2")
     tracked_engine.note_taken(unload(0, M2), NOW)
     assert M2 in tracked_engine.charged()
     assert M2 not in tracked_engine.usable()
@@ -138,8 +138,8 @@
     assert tracked_engine.lacks(M2)
 
 
-def test_unload_of_a_model_takes_its_adapters_along():
-    tracked_engine = make_known_book(0, "m1")
+def test_unload_of_a_model_withdraws_its_adapters():
+    tracked_engine = make_reported_engine(0, "m1")
     a1 = ("m1", "a1")
     tracked_engine.note_taken(load(0, a1), NOW)
     tracked_engine.note_taken(unload(1, M1), NOW)
@@ -148,37 +148,39 @@
     assert not tracked_engine.removable()
 
 
-def test_adapters_on_their_way_take_places_and_can_not_be_removed():
-    tracked_engine = make_known_book(1, "m1", coming=frozenset({("m1", "a7")}))
+def test_loading_adapters_take_slots_and_are_not_removable():
+    tracked_engine = make_reported_engine(
+        1, "m1", coming=frozenset({("m1", "a7")})
+    )
     assert ("m1", "a7") in tracked_engine.charged()
     assert tracked_engine.removable() == {M1}
 
 
-def test_answer_that_an_adapter_is_unloaded_is_believed_of_what_was_there():
+def test_unload_answer_for_an_adapter_not_in_place_is_uncertain():
     a7 = ("m1", "a7")
-    tracked_engine = make_known_book(1, "m1", coming=frozenset({a7}))
+    tracked_engine = make_reported_engine(1, "m1", coming=frozenset({a7}))
     tracked_engine.note_unloaded(unload(1, a7), NOW)
     assert not tracked_engine.is_certain
     assert a7 in tracked_engine.charged()
 
 
-def test_engine_that_loads_for_a_holder_before_us_is_not_known():
-    tracked_engine = make_book("m1")
+def test_engine_loading_for_a_previous_holder_is_uncertain():
+    tracked_engine = make_tracked_engine("m1")
     tracked_engine.apply_report(state(1, "m1", is_busy=True), NOW)
     assert not tracked_engine.is_certain
     tracked_engine.apply_report(state(1, "m1", "m2"), NOW)
     assert tracked_engine.is_certain
 
 
-def test_engine_that_turns_busy_with_another_order_is_not_known_any_more():
+def test_engine_busy_with_another_order_becomes_uncertain():
     # What it loads is shown by nobody, and its count is told all the same.
-    tracked_engine = make_known_book(1, "m1")
+    tracked_engine = make_reported_engine(1, "m1")
     tracked_engine.apply_report(state(2, "m1", is_busy=True), NOW)
     assert not tracked_engine.is_certain
 
 
-def test_report_of_before_a_load_does_not_replace_one_of_after():
-    tracked_engine = make_known_book(0, "m1")
+def test_report_from_before_a_load_does_not_replace_a_later_one():
+    tracked_engine = make_reported_engine(0, "m1")
     tracked_engine.note_taken(load(0, M2), NOW)
     tracked_engine.apply_report(state(1, "m1", "m2"), NOW)
     tracked_engine.apply_report(state(1, "m1", is_busy=True), NOW)
@@ -188,17 +190,17 @@
 def test_model_that_is_still_loading_is_not_usable():
     # A successor told its peers that an adopted load was done, and they sent
     # requests that were all turned away.
-    tracked_engine = make_known_book(0, "m1")
+    tracked_engine = make_reported_engine(0, "m1")
     tracked_engine.note_taken(load(0, M2), NOW)
     assert M2 not in tracked_engine.usable()
     tracked_engine.apply_report(state(1, "m1", "m2"), NOW)
     assert M2 in tracked_engine.usable()
 
 
-def test_model_without_a_specification_is_as_heavy_as_the_heaviest():
+def test_unspecified_model_is_charged_as_the_largest():
     spec = manifest.Model("m1", 100.0, 10.0, ("a1",))
     pool = manifest.Pool(8, 1000, 250.0, 2, 1.0, {"m1": spec})
-    tracked_engine = make_known_book(0, "m1", "m9")
+    tracked_engine = make_reported_engine(0, "m1", "m9")
     total, _ = planner_inputs.sum_charges(tracked_engine, pool)
     assert total == 200.0
 
@@ -225,7 +227,7 @@
         self.tracked_engine = tracked_engines_module.TrackedEngine(entry)
         self.order_sender.tracked_engines[engine.name] = self.tracked_engine
 
-    def connect(self, address, follows_nobody=True):
+    def connect(self, address, has_no_predecessor=True):
         self.address = address
         options = options_module.Options(
             self.name, "127.0.0.1", "h", "", "", address, "", 0
@@ -235,7 +237,7 @@
             options, self.store, engines.PlatformEngines(), metrics.Metrics()
         )
         self.order_sender.claims.least_token = 40
-        if follows_nobody:
+        if has_no_predecessor:
             self.order_sender.claims.note_no_predecessor()
 
     def stop(self):
@@ -278,7 +280,7 @@
 
 
 @with_engine
-async def test_order_without_an_answer_is_settled_by_the_count(fixture):
+async def test_unanswered_order_is_settled_by_the_count(fixture):
     fixture.engine.order_status = 0
     outcome = await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.LOAD, M2
@@ -290,7 +292,7 @@
 
 
 @with_engine
-async def test_order_that_was_lost_is_sent_again_unchanged(fixture):
+async def test_lost_order_is_sent_again_unchanged(fixture):
     lost = [True]
     carry_out = fixture.engine._take_order
 
@@ -324,7 +326,7 @@
 
 
 @with_engine
-async def test_second_holder_keeps_its_distance(fixture):
+async def test_second_holder_does_not_order_a_claimed_engine(fixture):
     await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.LOAD, M2
     )
@@ -345,14 +347,14 @@
 
 
 @with_engine
-async def test_process_that_follows_another_keeps_away_from_own_claims(fixture):
+async def test_restarted_process_holds_off_from_its_own_claims(fixture):
     # Another holder may have ordered the engine without a claim since; see
     # `stateful/test_detached_orders.py`, seeds 1388 and 3879.
     await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.LOAD, M2
     )
     again = Fixture("g1", fixture.standin)
-    again.connect(fixture.address, follows_nobody=False)
+    again.connect(fixture.address, has_no_predecessor=False)
     await again.order_sender.claims.read_all()
     assert not again.order_sender.claims.may_claim("e1")
     again.order_sender.claims.note_no_predecessor()
@@ -361,7 +363,7 @@
 
 
 @with_engine
-async def test_what_does_not_fit_any_more_is_not_sent(fixture):
+async def test_order_that_no_longer_fits_is_not_sent(fixture):
     outcome = await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.LOAD, M2, lambda: False
     )
@@ -370,13 +372,13 @@
 
 
 @with_engine
-async def test_orders_of_another_count_are_refused_and_learned(fixture):
+async def test_order_with_a_wrong_count_is_refused_and_corrected(fixture):
     fixture.tracked_engine.apply_report(state(5, "m1"), clock.now())
     outcome = await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.LOAD, M2
     )
     assert outcome is engines_module.OrderOutcome.BUSY
-    assert await fixture.order_sender.learn(fixture.tracked_engine)
+    assert await fixture.order_sender.sync_until_certain(fixture.tracked_engine)
     assert fixture.tracked_engine.inventory.orders == 0
     outcome = await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.LOAD, M2
@@ -385,12 +387,12 @@
 
 
 @with_engine
-async def test_order_after_an_adapters_unload_is_taken_at_once(fixture):
+async def test_order_after_an_adapter_unload_is_taken_at_once(fixture):
     # Reports still told the count of before the unload, and up to ten orders
     # in a row were refused (ctta-grown quiet-1, adapters at 10.4 s).
     fixture.engine.models = {"m1": ["a1"]}
     fixture.engine.report_lag = 0.5
-    await fixture.order_sender.learn(fixture.tracked_engine)
+    await fixture.order_sender.sync_until_certain(fixture.tracked_engine)
     unload = await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.UNLOAD, ("m1", "a1")
     )
@@ -403,20 +405,20 @@
 
 
 @with_engine
-async def test_engine_that_refused_an_order_rests(fixture):
+async def test_engine_that_refused_an_order_is_backed_off(fixture):
     fixture.tracked_engine.apply_report(state(5, "m1"), clock.now())
     now = clock.now()
     await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.LOAD, M2
     )
-    assert fixture.tracked_engine.rests_until > now
+    assert fixture.tracked_engine.backoff_until > now
 
 
 @with_engine
-async def test_what_would_not_be_counted_is_not_ordered(fixture):
+async def test_order_without_effect_is_not_sent(fixture):
     # The engine answers that it holds already, whether it does or not, and
     # counts no order; the next ones were refused for two seconds.
-    await fixture.order_sender.learn(fixture.tracked_engine)
+    await fixture.order_sender.sync_until_certain(fixture.tracked_engine)
     outcomes = engines_module.OrderOutcome
     load, unload = lease.Action.LOAD, lease.Action.UNLOAD
     give = fixture.order_sender.order
