--- a/src/wayslip/gateway/adapters.py
+++ b/src/wayslip/gateway/adapters.py
@@ -1,7 +1,7 @@
-"""Loads adapters when requests wait for them, and ahead where there is room.
+"""Loads adapters that requests wait for, and preloads others into free slots.
 
-While an engine loads a model it takes no order for an adapter, so what is
-there before spares a refusal.
+While an engine loads a model it takes no order for an adapter. An adapter that
+is preloaded can serve requests during that time.
 """
 
 from collections.abc import Callable
@@ -20,16 +20,16 @@
 from wayslip.gateway import planner_inputs
 from wayslip.gateway import tracked_engines as tracked_engines_module
 
-# Time that an adapter takes to load, seconds and seconds for each megabyte,
-# twice what the users' sheets say (5 to 6.3 ms for 12 MB, 14 to 19 for 66);
-# one that the engine has held before takes a tenth.
+# Expected time to load an adapter, a constant and a part for each megabyte:
+# twice the specified times (5 to 6.3 ms for 12 MB, 14 to 19 ms for 66 MB). An
+# adapter that the engine has held before takes a tenth of it.
 _LOAD_SECONDS = 0.01
 _LOAD_SECONDS_PER_MB = 0.00045
 _RELOAD_FACTOR = 0.1
-# An adapter that was loaded for a request is not taken away before that
-# request and its like were counted, seconds: some reports.
+# An adapter that was loaded for a request is not evicted until the reports have
+# counted that request and similar ones, which takes some reports.
 _SETTLE_SECONDS = 1.0
-# An adapter in use at least so often is not taken away, requests a second.
+# Adapters with a higher rate of requests than this are not evicted.
 _IN_USE_PER_S = 0.5
 
 LoadRequest = tuple[str, str, str]
@@ -37,7 +37,7 @@
 
 
 class Adapters:
-    """Carries out wishes for adapters of models that are loaded."""
+    """Loads and evicts adapters of models that are loaded."""
 
     def __init__(
         self,
@@ -50,15 +50,16 @@
         ] = (lambda request, tracked_engine: None),
         notices: endpoint_notices_module.EndpointNotices | None = None,
     ) -> None:
-        """Initializes without any series.
+        """Initializes without any task.
 
         Args:
-            order_sender: Gives the orders.
-            members: Knows how often adapters are asked for.
-            start: Starts a series.
-            announce_changes: Has the instances told soon what changed.
-            notify_waiting: Tells those who wait for an adapter at once.
-            notices: What engines said of themselves.
+            order_sender: Sends the orders.
+            members: Provides the rates of requests for adapters.
+            start: Starts a task.
+            announce_changes: Schedules an announcement of what changed.
+            notify_waiting: Immediately notifies instances that wait for an
+                adapter.
+            notices: Rate limits and back-offs that engines announced.
         """
         self._notices = notices or endpoint_notices_module.EndpointNotices()
         self._order_sender = order_sender
@@ -75,11 +76,11 @@
         tracked_engines: list[tracked_engines_module.TrackedEngine],
         item: tuple[str, str],
     ) -> bool:
-        """Starts to load an adapter where its model is.
+        """Starts to load an adapter on an engine that holds its model.
 
         Returns:
-            Whether nothing more has to be done for it: it is there, on its
-            way, or of a model that nobody knows.
+            Whether the request needs no retry: the adapter is in place or
+            loading, or its model is unknown.
         """
         request = (service, *item)
         spec = pool.models.get(item[0])
@@ -105,7 +106,7 @@
         pool: manifest.Pool,
         tracked_engines: list[tracked_engines_module.TrackedEngine],
     ) -> None:
-        """Loads adapters that are nowhere into free places, one an engine."""
+        """Loads adapters that no engine holds into free slots, one each."""
         now = clock.now()
         placed = set().union(*(b.charged() for b in tracked_engines)) | {
             (model, adapter)
@@ -125,8 +126,8 @@
             ):
                 continue
             item = self._find_missing(service, pool, tracked_engine, placed)
-            # A series that can only end at once would be started again and
-            # again: it wakes the planner when it ends.
+            # A task for an adapter that does not fit would end at once, wake
+            # the planner and be started again in a busy loop.
             if item is None or not _fits(
                 tracked_engine, pool, pool.models[item[0]]
             ):
@@ -147,7 +148,7 @@
         tracked_engine: tracked_engines_module.TrackedEngine,
         placed: set[tuple[str, str]],
     ) -> tuple[str, str] | None:
-        """Returns the adapter that an engine should load ahead."""
+        """Returns the most requested adapter that an engine should preload."""
         missing = [
             (model, adapter)
             for model, held in tracked_engine.usable()
@@ -167,7 +168,8 @@
         tracked_engines: list[tracked_engines_module.TrackedEngine],
         model: str,
     ) -> tracked_engines_module.TrackedEngine | None:
-        # While it loads a model, an engine takes no order for an adapter.
+        # Engines that load a model are left out: they take no order for an
+        # adapter meanwhile.
         now = clock.now()
         found = {
             b.endpoint.name: b
@@ -191,7 +193,7 @@
     def _is_constrained(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> bool:
-        """Whether an engine takes less than it could."""
+        """Whether an engine is rate-limited or backing off."""
         endpoint = tracked_engine.endpoint
         limit = self._notices.find_limit(endpoint.start)
         return limit is not None or self._notices.find_backoff(endpoint) > 0
@@ -247,14 +249,15 @@
     async def _evict_one(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> bool:
-        """Unloads the adapter that is used least; returns whether it went."""
+        """Unloads the least used adapter; returns whether it is gone."""
         if not any(adapter for _, adapter in tracked_engine.removable()):
-            # What no report has shown in place yet can not be taken away.
+            # Only items that a report has shown in place can be unloaded.
             await self._order_sender.sync(tracked_engine)
         item = self._choose_victim(tracked_engine)
         if item is None:
             return False
-        # At once, so that another wish for this engine chooses another one.
+        # Set before the order, so that another load request for this engine
+        # selects another victim.
         tracked_engine.withdrawn.add(item)
         outcome = await self._order_sender.order(
             tracked_engine, lease.Action.UNLOAD, item
@@ -262,13 +265,13 @@
         if outcome not in engines.DONE:
             tracked_engine.withdrawn.discard(item)
         self._announce_changes()
-        # An adapter is unloaded by the time that is answered.
+        # Engines answer the unload of an adapter once it is done.
         return outcome is engines.OrderOutcome.HELD
 
     def _choose_victim(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> fleet.Item | None:
-        """Returns the adapter that is used least, None if all are needed."""
+        """Returns the least used adapter, None if all are in use."""
         service = tracked_engine.endpoint.service
         limit = clock.now() - _SETTLE_SECONDS
         rates = sorted(
@@ -287,7 +290,7 @@
     pool: manifest.Pool,
     spec: manifest.Model,
 ) -> bool:
-    """Whether an engine has a place and memory for an adapter of a model."""
+    """Whether an engine has a free slot and memory for a model's adapter."""
     total, _ = planner_inputs.sum_charges(tracked_engine, pool)
     has_slot = (
         planner_inputs.count_adapters(tracked_engine) < pool.adapter_slots
--- a/src/wayslip/gateway/claims.py
+++ b/src/wayslip/gateway/claims.py
@@ -1,4 +1,4 @@
-"""Claims on engines, written before every order; see `decisions.lease`."""
+"""Claims on engines, written before each order; see `decisions.lease`."""
 
 from collections.abc import Callable
 import logging
@@ -13,19 +13,21 @@
 from wayslip.gateway import store as store_module
 
 _LOG = logging.getLogger(__name__)
-# The first era of a store that has lost nothing yet.
+# The era of a store that has never lost writes.
 _FIRST_ERA = 1
 
 
 class Claims:
-    """Who may order which engine, as this instance knows it.
+    """Tracks which instance may order which engine.
 
     Attributes:
-        known: Claims as they were read, written, or told by another holder.
+        known: Claims as they were read, written, or announced by a holder.
         least_token: The store's position at which this instance took the
             lease.
-        is_detached: Whether we may order without the store; set by who knows.
-        holds_lease: Whether we hold the lease for sure; set by who knows.
+        is_detached: Whether this instance may order engines without writing
+            to the store; set by the daemon.
+        holds_lease: Whether this instance holds a valid lease; set by the
+            daemon.
     """
 
     def __init__(
@@ -37,41 +39,43 @@
         self.least_token = 0
         self.is_detached: Callable[[], bool] = lambda: False
         self.holds_lease: Callable[[], bool] = lambda: False
-        # Until then a holder before us may still order without the store, as
-        # was heard, and as the process before this one may have heard.
+        # Until then a previous holder may still order engines in detached
+        # operation: by its announcements, and by those that only the process
+        # before this one may have received.
         self._hold_off_until = 0.0
         self._startup_hold_off_until = self._find_end_of_detached_orders()
-        # Until then orders may be near that the store has lost the claims of.
+        # Until then orders may arrive whose claims the store has lost.
         self._store_hold_off_until = 0.0
         store.on_return(self._start_store_hold_off)
 
     def note_revision(self, endpoint: str, revision: int) -> None:
-        """Takes in a claim's revision as its holder tells it."""
+        """Records a claim's revision that its holder announced."""
         seen = self.known.get(endpoint)
         if seen is not None and seen.revision >= revision:
             return
-        # Whose it is, is read when we come to take it over.
+        # The holder stays unknown until this instance reads the claim.
         unknown = lease.Claim(endpoint, "", 0)
         self.known[endpoint] = lease.ObservedClaim(
             unknown, revision, clock.now()
         )
 
     def start_hold_off(self) -> None:
-        """Notes that a holder orders engines without writing claims."""
+        """Starts the hold-off for a holder that orders without claims."""
         self._hold_off_until = self._find_end_of_detached_orders()
 
     def note_no_predecessor(self) -> None:
-        """Notes that no other instance held the lease before this one."""
+        """Ends the initial hold-off: no other instance held the lease before."""
         if self._store.era <= _FIRST_ERA:
-            # A later one may lack the lease of another instance.
+            # In a later era the store may have lost another instance's lease.
             self._startup_hold_off_until = 0.0
 
     def _start_store_hold_off(self) -> None:
-        """Keeps away from all engines once the store has lost writes.
+        """Holds off from all engines after the store has lost writes.
 
-        Another instance may have ordered them and the store have lost that,
-        unless that was us. Nobody can write claims before this is over who
-        knows less of it.
+        The lost writes may include claims of orders that another instance
+        sent. The lease holder does not wait, because such orders are its own.
+        No instance that knows less of them can write claims before this
+        hold-off is over.
         """
         if self.holds_lease() or self.is_detached():
             return
@@ -81,12 +85,12 @@
         )
 
     def _find_end_of_detached_orders(self) -> float:
-        """Returns until when a holder heard now may be too near with orders."""
+        """Returns the end of the hold-off for a detached holder heard from now."""
         distance = self._options.bounds.lease + lease.TRAVEL_SECONDS
         return clock.now() + detachment.HOLD_OFF_SECONDS + distance
 
     async def read_all(self) -> None:
-        """Reads all claims, as a new planner.
+        """Reads all claims, at the start of a term.
 
         Raises:
             ObjectUnavailableError: The store did not answer.
@@ -104,7 +108,7 @@
         )
 
     async def remove(self, endpoint: str) -> None:
-        """Removes the claim of an engine that is gone."""
+        """Removes the claim of an engine that left the fleet."""
         seen = self.known.pop(endpoint, None)
         if seen is None:
             return
@@ -116,7 +120,7 @@
             )
 
     def may_claim(self, endpoint: str) -> bool:
-        """Whether an engine may be ordered by this instance now."""
+        """Whether this instance may claim an engine now."""
         now = clock.now()
         hold_off_until = max(
             self._hold_off_until,
@@ -131,7 +135,12 @@
         )
 
     async def write(self, pending: lease.Pending) -> lease.Claim | None:
-        """Claims an engine for one order; returns None if it can not be."""
+        """Claims an engine for one order.
+
+        Returns:
+            The claim; None if the engine may not be claimed or the write
+            failed.
+        """
         endpoint = pending.endpoint
         if not self.may_claim(endpoint):
             return None
@@ -163,7 +172,7 @@
         return claim
 
     async def _read(self, endpoint: str) -> None:
-        """Reads a claim again whose write met another, or had no answer."""
+        """Reads a claim whose write met a conflict or had no answer."""
         try:
             stored = await self._store.get(records.CLAIM, endpoint)
         except errors.ObjectError as e:
--- a/src/wayslip/gateway/engines.py
+++ b/src/wayslip/gateway/engines.py
@@ -1,4 +1,4 @@
-"""What the gateway asks of engines besides requests: reports and orders."""
+"""Interface to engines for reports and orders."""
 
 import dataclasses
 import enum
@@ -9,14 +9,14 @@
 
 
 class OrderOutcome(enum.StrEnum):
-    """What came of an order.
+    """The outcome of an order.
 
     Attributes:
         TAKEN: The engine carries it out.
-        HELD: What it asks for holds already.
-        BUSY: Another order is under way, or the count of orders is another.
-        REFUSED: The engine can not carry it out.
-        ELSEWHERE: Another engine lives at the address.
+        HELD: The requested state holds already.
+        BUSY: Another order is in progress, or the count of orders differs.
+        REFUSED: The engine can't carry it out.
+        ELSEWHERE: Another engine runs at the address.
         UNKNOWN: No answer; it may be carried out now or seconds later.
     """
 
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Authority:
-    """In whose name an order is given."""
+    """The claim holder and fencing token under which an order is sent."""
 
     holder: str
     token: int
@@ -43,10 +43,10 @@
     """Talks to engines."""
 
     async def report(self, endpoint: fleet.Endpoint) -> fleet.EngineState:
-        """Returns what an engine says of itself.
+        """Requests an engine's report of its state.
 
         Raises:
-            EndpointError: It did not answer, or not in form.
+            EndpointError: It did not answer, or the answer was malformed.
         """
 
     async def order(
@@ -55,4 +55,4 @@
         order: lease.Pending,
         authority: Authority,
     ) -> OrderOutcome:
-        """Sends an order once."""
+        """Sends an order once and returns its outcome."""
--- a/src/wayslip/gateway/loads.py
+++ b/src/wayslip/gateway/loads.py
@@ -1,4 +1,4 @@
-"""Carries out loads: makes room, orders, and waits until models serve."""
+"""Carries out loads: frees memory, sends orders, waits until models serve."""
 
 import asyncio
 from collections.abc import Callable
@@ -15,32 +15,32 @@
 from wayslip.gateway import tracked_engines as tracked_engines_module
 
 _LOG = logging.getLogger(__name__)
-# Longest wait for an unload, which waits for the model's runs, seconds.
+# Maximum wait for an unload, which itself waits for the model's requests.
 _UNLOAD_TIMEOUT_SECONDS = 8.0
-# A load may take this many times what is expected before it is given up on.
+# A load times out after this multiple of its expected time, plus a constant.
 _LOAD_FACTOR = 3.0
 _LOAD_EXTRA_SECONDS = 5.0
-# An engine that did not carry out a load is left alone for this long: its
-# reports are some hundred milliseconds old, seconds.
+# Back-off for an engine that did not carry out a load, above the age of its
+# reports, which are some hundred milliseconds old.
 _FAILED_BACKOFF_SECONDS = 0.6
-# A load that the holder before us ordered is taken to last so much longer,
-# seconds: half of a load from the weight store.
+# Assumed remaining time of a load that the previous holder ordered: half of a
+# load from the weight store.
 _ADOPTED_LOAD_SECONDS = 5.0
 
 
 class Loads:
-    """Series of orders that end with a model in place, or without it."""
+    """Tasks that each send the orders for one load and await their effects."""
 
     def __init__(
         self,
         order_sender: order_sender_module.OrderSender,
         announce_changes: Callable[[], None],
     ) -> None:
-        """Initializes without any series.
+        """Initializes without any task.
 
         Args:
-            order_sender: Gives the orders.
-            announce_changes: Has the instances told what changed.
+            order_sender: Sends the orders.
+            announce_changes: Schedules an announcement of what changed.
         """
         self._order_sender = order_sender
         self._announce_changes = announce_changes
@@ -51,7 +51,7 @@
         step: loading.Step,
         pool: manifest_module.Pool,
     ) -> None:
-        """Makes room for a model and loads it."""
+        """Frees memory for a model and loads it."""
         is_loaded = False
         try:
             if await self._make_room(tracked_engine, step):
@@ -69,7 +69,7 @@
         tracked_engine: tracked_engines_module.TrackedEngine,
         step: loading.Step,
     ) -> bool:
-        """Unloads the victims; returns whether all are gone."""
+        """Unloads the eviction victims; returns whether all are gone."""
         if not await self._order_sender.sync_until_certain(tracked_engine):
             return False
         for victim in step.victims:
@@ -122,18 +122,18 @@
         )
         return is_done
 
-    # Orders of the holder before us
+    # Orders of the previous holder
 
     async def settle(
         self,
         tracked_engine: tracked_engines_module.TrackedEngine,
         fits_pool: Callable[[tracked_engines_module.TrackedEngine], bool],
     ) -> None:
-        """Settles an order that the holder before us left open.
+        """Settles an order that the previous holder left open.
 
         Args:
-            tracked_engine: Whose engine it was for.
-            fits_pool: Whether all that an engine's book charges fits.
+            tracked_engine: The engine that it was for.
+            fits_pool: Whether all that an engine is charged for fits.
         """
         pending = tracked_engine.pending
         await self._order_sender.settle(
@@ -155,7 +155,7 @@
         model: str,
         seconds: float,
     ) -> None:
-        """Waits for a load that was ordered by the holder before us."""
+        """Waits for a load that the previous holder ordered."""
         try:
             state = await self._order_sender.sync(tracked_engine)
             if state is not None and not state.is_busy:
--- a/src/wayslip/gateway/order_sender.py
+++ b/src/wayslip/gateway/order_sender.py
@@ -1,9 +1,9 @@
-"""Sends orders to engines, one at a time each, and keeps what they may hold.
+"""Sends orders to engines, one at a time to each, and tracks their effects.
 
-An order names how many orders its engine has taken before. So of two orders
-with the same count at most one is carried out, whenever they arrive. An order
-without an answer is sent again unchanged until the engine's count has risen;
-until then its item is charged.
+An order names how many orders its engine has taken before. Of two orders with
+the same count at most one is therefore carried out, whenever they arrive. An
+order without an answer is sent again unchanged until the engine's count has
+risen; until then its item is charged.
 """
 
 import asyncio
@@ -25,23 +25,23 @@
 from wayslip.gateway import tracked_engines as tracked_engines_module
 
 _LOG = logging.getLogger(__name__)
-# Between looks at an engine whose order had no answer, seconds. Its reports
-# are some hundred milliseconds old.
+# Interval between reports that are requested from an engine whose order had no
+# answer. Reports are some hundred milliseconds old.
 _REPEAT_SECONDS = 0.35
-# Between looks at an engine that is to finish an order, seconds; the list
-# tells it a heartbeat later.
+# Maximum interval between reports that are requested from an engine that is
+# finishing an order. The list shows the result a heartbeat later.
 _POLL_SECONDS = 0.4
-# A report that is older than an order is asked for again after a while,
-# seconds; reports are some hundred milliseconds old.
+# Interval before the next report is requested where the last one was older than
+# an order. Reports are some hundred milliseconds old.
 _SYNC_RETRY_SECONDS = 0.15
 _MAX_SYNC_ATTEMPTS = 5
-# An engine that was busy, or whose count we had wrong, is left alone for as
-# long as its reports may be old, seconds.
+# Back-off for an engine that was busy or had another count of orders: as long
+# as its reports may be outdated.
 _BUSY_BACKOFF_SECONDS = 0.2
 
 
 class OrderSender:
-    """Gives orders to engines, claiming each engine before."""
+    """Sends orders to engines, and writes a claim before each order."""
 
     def __init__(
         self,
@@ -55,10 +55,10 @@
         self.tracked_engines: dict[
             str, tracked_engines_module.TrackedEngine
         ] = {}
-        # Whether an engine's limit leaves room for a report or an order now;
-        # set by who knows.
+        # Whether an engine's rate limit permits a report or an order now; set
+        # by the daemon.
         self.may_call: Callable[[fleet.Endpoint], bool] = lambda endpoint: True
-        # The configuration in force; set by who knows.
+        # Returns the version of the configuration in force; set by the daemon.
         self.find_version: Callable[[], int | None] = lambda: None
         self.claims = claims_module.Claims(options, store)
 
@@ -67,7 +67,11 @@
     async def sync(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> fleet.EngineState | None:
-        """Asks an engine for its count of orders and what it holds."""
+        """Requests and applies an engine's report.
+
+        Returns:
+            The report; None if there was none or it was outdated.
+        """
         if not self.may_call(tracked_engine.endpoint):
             return None
         try:
@@ -94,7 +98,11 @@
     async def sync_until_certain(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> bool:
-        """Sees to it that an engine's count and content are known."""
+        """Requests reports until an engine's inventory is certain.
+
+        Returns:
+            Whether it is certain; False if no report made it so.
+        """
         for attempt in range(_MAX_SYNC_ATTEMPTS):
             if tracked_engine.is_certain:
                 return True
@@ -110,17 +118,17 @@
         item: fleet.Item,
         may_send: Callable[[], bool] = lambda: True,
     ) -> engines_module.OrderOutcome:
-        """Gives an order; returns once its effect is certain.
+        """Sends an order; returns once its effect is certain.
 
         Args:
-            tracked_engine: Whose engine it is for.
+            tracked_engine: The engine that it is for.
             action: What to do.
             item: The model and adapter; the adapter is empty for the model.
-            may_send: Asked when no other order is under way, so that what
-                it finds free stays free until this order is charged.
+            may_send: Called when no other order is in progress, so that
+                memory it finds free stays free until this order is charged.
 
         Returns:
-            What came of it.
+            The order's outcome.
         """
         model, adapter = item
         async with tracked_engine.lock:
@@ -147,13 +155,13 @@
         tracked_engine: tracked_engines_module.TrackedEngine,
         fits: Callable[[], bool],
     ) -> None:
-        """Settles an order that a holder before us left open.
+        """Determines the outcome of an order that a previous holder left open.
 
         Args:
-            tracked_engine: Whose engine it was for.
-            fits: Whether all that is charged fits, this order included. The
-                holder before us may have been wrong about the count, and
-                what fitted then may not fit at that count now.
+            tracked_engine: The engine that it was for.
+            fits: Whether all charged items fit, this order's included. The
+                previous holder may have named a wrong count, and what fitted
+                then may not fit at that count now.
         """
         async with tracked_engine.lock:
             pending = tracked_engine.pending
@@ -171,7 +179,7 @@
         tracked_engine.pending = pending
         outcome = await self._send(tracked_engine, pending)
         if outcome is None:
-            # It was not sent, so nothing of it can take effect.
+            # It was not sent, so it can't take effect.
             tracked_engine.pending = None
             return engines_module.OrderOutcome.REFUSED
         if outcome is engines_module.OrderOutcome.UNKNOWN:
@@ -184,7 +192,7 @@
         tracked_engine: tracked_engines_module.TrackedEngine,
         pending: lease.Pending,
     ) -> engines_module.OrderOutcome | None:
-        """Claims the engine and sends an order; None if it was not sent."""
+        """Claims the engine and sends an order; returns None if not sent."""
         if not self.may_call(tracked_engine.endpoint):
             return None
         began = clock.now()
@@ -207,7 +215,7 @@
         pending: lease.Pending,
         fits: Callable[[], bool] = lambda: True,
     ) -> engines_module.OrderOutcome:
-        """Repeats an order until the engine's count tells what came of it."""
+        """Repeats an order until the engine's count shows its outcome."""
         outcomes = engines_module.OrderOutcome
         while self.tracked_engines.get(pending.endpoint) is tracked_engine:
             await asyncio.sleep(_REPEAT_SECONDS)
@@ -217,7 +225,7 @@
             if state is None or not tracked_engine.is_certain:
                 continue
             if state.orders < pending.orders or not fits():
-                # It can not be taken now, and may arrive when it can.
+                # The engine can't take it now, but could if it arrives later.
                 tracked_engine.abandoned = pending
                 return outcomes.REFUSED
             outcome = await self._send(tracked_engine, pending)
@@ -232,7 +240,14 @@
         outcome: engines_module.OrderOutcome,
         room: dict[str, Any],
     ) -> None:
-        """Takes in what came of an order; logs what its room was."""
+        """Applies and logs an order's outcome.
+
+        Args:
+            tracked_engine: The engine.
+            pending: The order.
+            outcome: Its outcome.
+            room: The state that it was based on, as fields for the log.
+        """
         logs.event(
             _LOG,
             "order",
@@ -255,7 +270,7 @@
         else:
             tracked_engine.note_uncertain()
         if outcome is outcomes.BUSY:
-            # A report of the same moment would tell the same count again.
+            # A report requested now would show the same count again.
             tracked_engine.backoff_until = max(
                 tracked_engine.backoff_until, now + _BUSY_BACKOFF_SECONDS
             )
@@ -269,8 +284,14 @@
     ) -> bool:
         """Waits until an engine holds a model, or does not.
 
+        Args:
+            tracked_engine: The engine.
+            model: The model.
+            is_held: Whether to wait for it to be in place or to be gone.
+            seconds: Maximum wait.
+
         Returns:
-            Whether that came true in time, on a live engine.
+            Whether that state was reached in time, on the same incarnation.
         """
         item = (model, "")
         end = clock.now() + seconds
@@ -287,7 +308,7 @@
             ):
                 return True
             if await self._wait_for_entry(tracked_engine, item, is_held):
-                # Reports are a little older than what made the entry change.
+                # Reports lag a little behind the change that the entry shows.
                 await asyncio.sleep(_SYNC_RETRY_SECONDS)
             await self.sync(tracked_engine)
         return False
@@ -298,9 +319,9 @@
         item: fleet.Item,
         is_held: bool,
     ) -> bool:
-        """Waits for a while until an engine's entry shows what is awaited.
+        """Waits up to `_POLL_SECONDS` until an engine's entry shows a state.
 
-        The entry may be old, so it is only a reason to ask the engine.
+        The entry may be outdated, so it only triggers a report.
         """
         try:
             async with asyncio.timeout(_POLL_SECONDS):
@@ -316,10 +337,10 @@
 def _predict_outcome(
     known: inventory_module.Inventory, action: lease.Action, item: fleet.Item
 ) -> engines_module.OrderOutcome | None:
-    """Returns what would come of an order that an engine would not count.
+    """Returns the outcome of an order that the engine would not count.
 
-    An answer to such an order looks like one to an order that was carried
-    out, so it is not given.
+    Such an order is not sent, because its answer looks like that to an order
+    that was carried out. None means that the order has to be sent.
     """
     if action is lease.Action.LOAD:
         is_done = item in known.items
--- a/src/wayslip/gateway/planner.py
+++ b/src/wayslip/gateway/planner.py
@@ -1,4 +1,4 @@
-"""The work of the lease's holder: hears demand, plans loads, tells peers."""
+"""Work of the lease holder: collects demand, plans loads, notifies peers."""
 
 import asyncio
 import logging
@@ -25,18 +25,18 @@
 from wayslip.gateway import view as view_module
 
 _LOG = logging.getLogger(__name__)
-# Between plans, seconds; a decision is then at most this much late against
-# loads of a second or more.
+# Time between plans. It bounds how late a decision is, which is little against
+# loads that take a second or more.
 _PLAN_PERIOD_SECONDS = 0.15
-# The least of that, seconds: a plan takes up to a few milliseconds.
+# Minimum time between plans; making one takes up to a few milliseconds.
 _MIN_PLAN_PERIOD_SECONDS = 0.005
-# Loads from the weight store that may begin together, see `rate.Bucket`.
+# Loads from the weight store that may start together; see `rate.Bucket`.
 _COLD_LOAD_BURST = 2.0
-# The claim of an engine is kept for so long after it left the list, seconds:
-# many times what an entry that lapsed takes to come back.
+# How long the claim of an engine is kept after the engine left the list: many
+# times what an expired entry takes to reappear.
 _CLAIM_RETENTION_SECONDS = 60.0
-# How long a request's wish for an adapter is tried again, seconds; the request
-# repeats it while it waits.
+# How long a load request for an adapter stays valid; the waiting request
+# repeats it.
 _LOAD_REQUEST_SECONDS = 0.2
 
 
@@ -76,24 +76,26 @@
             view.notices,
         )
         self._buckets: dict[str, rate.Bucket] = {}
-        # Adapters that requests wait for, and until when.
+        # Adapters that requests wait for, and when each load request expires.
         self._load_requests: dict[adapters_module.LoadRequest, float] = {}
-        # Where instances wait for an adapter, and until when.
+        # Addresses of instances that wait for an adapter, with expiry times.
         self._waiting: dict[
             adapters_module.LoadRequest, dict[hub_module.Address, float]
         ] = {}
-        # Loads that the holder before us told of, by endpoint and model.
+        # When loads announced by the previous holder end, by endpoint and
+        # model.
         self._announced_loads: dict[tuple[str, str], float] = {}
         self._missing_since: dict[str, float] = {}
         self._is_prepared = False
-        # What `_find_held` found before the last plan: 400 reports a second
-        # ask for it at the largest fleet, and it takes a pass over all books.
+        # Result of `_find_held` before the last plan. It is cached because it
+        # takes a pass over all engines, and the largest fleet sends 400 reports
+        # a second that need it.
         self._held: set[tuple[str, str]] = set()
 
     # The lease
 
     def begin(self) -> None:
-        """Starts to plan; claims of the planner before are read first."""
+        """Starts to plan, once the claims in the store have been read."""
         self._order_sender.tracked_engines.clear()
         self._follow_list()
         self._held = self._find_held()
@@ -147,7 +149,7 @@
     def _fits_pool(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> bool:
-        """Whether what an engine holds and may take fits, as configured."""
+        """Whether all that an engine is charged for fits its service's pool."""
         manifest = self._holder.manifest
         if manifest is None:
             return False
@@ -157,16 +159,20 @@
         return planner_inputs.fits_pool(tracked_engine, service.pool)
 
     def end(self) -> None:
-        """Stops giving orders; what was sent stays in the claims."""
+        """Stops sending orders; the last ones stay recorded in the claims."""
         self._is_prepared = False
         self._background_tasks.cancel()
 
-    # Hearing and telling
+    # Messages from and to peers
 
     def process(
         self, message: facts.Message, source: hub_module.Address
     ) -> None:
-        """Takes in what an instance tells or asks for."""
+        """Processes a message of another instance.
+
+        The lease holder processes reports and item requests, other instances
+        the statements of the holder.
+        """
         if not self._leadership.is_held:
             self._process_holder_message(message)
         elif isinstance(message, facts.Report):
@@ -196,16 +202,16 @@
         request: adapters_module.LoadRequest,
         tracked_engine: tracked_engines_module.TrackedEngine,
     ) -> None:
-        """Tells those who wait for an adapter that an engine loads it.
+        """Notifies instances that wait for an adapter that an engine loads it.
 
-        News for all waits for more of it, in a fleet of 195 instances for 0.15
-        s, and a request waits little longer than that.
+        Announcements to all instances are coalesced, for 0.15 s in a fleet of
+        195 instances. A request waits little longer than that.
         """
         waiting = self._waiting.pop(request, {})
         self._announcer.announce_to(tracked_engine, request[1:], list(waiting))
 
     def _process_holder_message(self, message: facts.Message) -> None:
-        """Remembers what a successor of the holder needs."""
+        """Records what this instance needs if it becomes the next holder."""
         if isinstance(message, facts.State):
             if message.is_detached:
                 self._order_sender.claims.start_hold_off()
@@ -234,7 +240,7 @@
                 self._announced_loads[key] = now + one.seconds
 
     def _find_held(self) -> set[tuple[str, str]]:
-        """Returns services with the models that can serve now."""
+        """Returns pairs of a service and a model that can serve now."""
         return {
             (tracked_engine.endpoint.service, model)
             for tracked_engine in self._order_sender.tracked_engines.values()
@@ -245,14 +251,14 @@
     # Planning
 
     async def run(self) -> None:
-        """Plans for as long as the process lives."""
+        """Plans while this instance may order engines; runs until cancelled."""
         while True:
             try:
                 async with asyncio.timeout(_PLAN_PERIOD_SECONDS):
                     await self._wake.wait()
             except TimeoutError:
                 pass
-            # A series that ends at once must not make this loop spin.
+            # Limits the loop's rate when background tasks end immediately.
             await asyncio.sleep(_MIN_PLAN_PERIOD_SECONDS)
             self._wake.clear()
             self._follow_list()
@@ -289,10 +295,10 @@
                 tracked_engine.apply_entry(tracked.endpoint, now)
 
     def _remove_claims(self) -> None:
-        """Removes the claims of engines that will not come back.
+        """Removes the claims of engines that left the list for good.
 
-        An engine that lives may be missing from the list for a while, and
-        its claim must then still be there.
+        A running engine may be missing from the list for a while, and its
+        claim must persist for that time.
         """
         limit = clock.now() - _CLAIM_RETENTION_SECONDS
         old = [n for n, at in self._missing_since.items() if at < limit]
@@ -340,7 +346,7 @@
         ]
 
     def _plan_one(self, service: str, pool: manifest_module.Pool) -> bool:
-        """Starts the load that gains most; returns whether there was one."""
+        """Starts the load with the highest gain; returns whether one exists."""
         now = clock.now()
         tracked_engines = {
             b.endpoint.name: b for b in self._list_engines(service)
@@ -379,7 +385,7 @@
             work=f"{demand[step.model].work:.2f}",
         )
         tracked_engine = tracked_engines[step.engine]
-        # At once, so that the next plan counts this copy.
+        # Set before the task starts, so that the next plan counts this copy.
         tracked_engine.ready_at[step.model] = now + step.seconds
         tracked_engine.task = self._background_tasks.start(
             self._loads.carry_out(tracked_engine, step, pool)
--- a/src/wayslip/gateway/planner_inputs.py
+++ b/src/wayslip/gateway/planner_inputs.py
@@ -1,4 +1,4 @@
-"""What an engine's book says to the planner."""
+"""Converts tracked engines into the planner's inputs."""
 
 from wayslip import clock
 from wayslip.decisions import copies
@@ -8,14 +8,18 @@
 
 
 def count_adapters(tracked_engine: tracked_engines_module.TrackedEngine) -> int:
-    """Returns the places for adapters that are or may be taken."""
+    """Returns how many adapter slots are or may be in use."""
     return sum(1 for _, adapter in tracked_engine.charged() if adapter)
 
 
 def sum_charges(
     tracked_engine: tracked_engines_module.TrackedEngine, pool: manifest.Pool
 ) -> tuple[float, dict[str, float]]:
-    """Returns the memory that is or may be taken, and adapters' by model."""
+    """Returns the memory that is or may be in use.
+
+    Returns:
+        The total in megabytes, and the part of adapters by their model.
+    """
     total = 0.0
     adapters: dict[str, float] = {}
     for model, adapter in tracked_engine.charged():
@@ -29,7 +33,7 @@
 def fits_pool(
     tracked_engine: tracked_engines_module.TrackedEngine, pool: manifest.Pool
 ) -> bool:
-    """Whether all that is charged fits, an open order included."""
+    """Whether all charged items, pending orders included, fit a pool."""
     total, _ = sum_charges(tracked_engine, pool)
     has_slots = count_adapters(tracked_engine) <= pool.adapter_slots
     return has_slots and total <= pool.weights_mb
@@ -38,7 +42,7 @@
 def is_idle(
     tracked_engine: tracked_engines_module.TrackedEngine, now: float
 ) -> bool:
-    """Whether no series of orders is under way and none failed just now."""
+    """Whether an engine has no running task of orders and no back-off."""
     return (
         tracked_engine.task is None or tracked_engine.task.done()
     ) and now >= tracked_engine.backoff_until
@@ -49,7 +53,7 @@
     may_claim: bool,
     now: float,
 ) -> bool:
-    """Whether an engine can be ordered at once."""
+    """Whether an order may be sent to an engine now."""
     return (
         is_idle(tracked_engine, now)
         and tracked_engine.pending is None
@@ -63,7 +67,7 @@
     may_claim: bool,
     notices: endpoint_notices_module.EndpointNotices,
 ) -> copies.Engine:
-    """Returns an engine as the planner sees it."""
+    """Returns the planner's input for one engine."""
     now = clock.now()
     endpoint = tracked_engine.endpoint
     total, adapters = sum_charges(tracked_engine, pool)
--- a/src/wayslip/gateway/tracked_engines.py
+++ b/src/wayslip/gateway/tracked_engines.py
@@ -1,4 +1,4 @@
-"""What the planner knows of each engine: its orders, and what it may hold."""
+"""State that the planner keeps of each engine: orders and possible contents."""
 
 import asyncio
 import dataclasses
@@ -9,49 +9,51 @@
 from wayslip.decisions import lease
 
 Item = fleet.Item
-# Reports are some hundred milliseconds old. One that still tells of fewer
-# orders after this shows that we counted one too many, seconds.
+# Reports are some hundred milliseconds old. One that still shows fewer orders
+# after this time means that an order was counted here by mistake.
 _MAX_REPORT_LAG_SECONDS = 2.0
-# An order without an answer may be carried out so much later, seconds: engines
-# take up to 12, and a report is some hundred milliseconds old.
+# An order without an answer may be carried out this much later: engines take
+# up to 12 s, and a report is some hundred milliseconds old.
 _MAX_ORDER_DELAY_SECONDS = 14.0
 
 
 @dataclasses.dataclass
 class TrackedEngine:
-    """What the lease's holder knows of one engine.
+    """What the lease holder knows of one engine.
 
-    Room is worked out from the inventory alone. Entries of the list may be
-    old, and a new one may be followed by an older one; they stand in only
-    while no inventory is known, for plans that a report will precede.
+    Charges are computed from the inventory alone while it is certain. Entries
+    of the list may be outdated, and a new one may be followed by an older one.
+    They are added only while the inventory is uncertain, and a report is
+    fetched then before an order is sent.
 
     Attributes:
         endpoint: The engine's entry in the list.
-        inventory: What it holds at a count of its orders, as last known.
-        is_certain: Whether that count holds now as far as we can know; an
-            order may only be given then.
-        least_orders: Orders that it has taken at least; a report that tells
-            of fewer is an old one, for a while after `counted_at`.
-        counted_at: When it took an order of ours last, steady seconds.
-        reported_at: When its last report came, steady seconds.
-        listed_at: When its entry in the list came, steady seconds.
+        inventory: What it held at its last known count of orders.
+        is_certain: Whether that count is current as far as is known; orders
+            are sent only then.
+        least_orders: Minimum number of orders that it has taken. A report with
+            fewer is outdated, for a while after `counted_at`.
+        counted_at: When it last took an order of this instance, steady
+            seconds.
+        reported_at: When its last report was received, steady seconds.
+        listed_at: When its entry in the list was received, steady seconds.
         added: Items ordered to load that no report has shown in place, and
             when they can serve.
-        withdrawn: Items that no request is to be sent for any more, until
-            neither the list nor a report shows them.
-        ready_at: When models that are loading are expected to serve.
+        withdrawn: Items that receive no further requests, until neither the
+            list nor a report shows them.
+        ready_at: When loading models are expected to serve.
         loaded_at: When models finished loading.
         previously_held: Adapters that it has held before.
         adapter_loaded_at: When adapters were loaded for a request.
         backoff_until: When it may be planned for again after a failure.
         pending: The order whose effect is not known yet.
-        abandoned: An order that was given up on. It may still arrive, and is
-            charged until the engine's count has passed it.
-        unanswered: Orders whose answer did not come, and when they were sent.
-        inherited: Those of an earlier start of the engine, and until when they
-            may be carried out by this one: it counts from zero again.
-        task: The series of orders that is under way.
-        lock: Held while an order is given.
+        abandoned: An order that is no longer repeated. It may still arrive,
+            and is charged until the engine's count has passed it.
+        unanswered: Orders without an answer, and when they were sent.
+        inherited: Unanswered orders of the engine's earlier incarnations, and
+            until when this one may carry them out: it counts from zero again.
+        task: The running task of orders.
+        lock: Held while an order is in progress.
         changed: Set by every new entry.
     """
 
@@ -81,10 +83,10 @@
     lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
-    # What it holds
+    # Contents
 
     def charged(self) -> set[Item]:
-        """Returns all items that take memory or may."""
+        """Returns all items that use or may use memory."""
         items = set(self.inventory.items) if self.inventory else set()
         if not self.is_certain:
             items |= self.listed() | set(self.added)
@@ -96,7 +98,7 @@
         }
 
     def usable(self) -> set[Item]:
-        """Returns the items that can serve now; adapters, or in moments."""
+        """Returns the items that can serve; adapters may still be loading."""
         items = set(self.inventory.items) if self.inventory else set()
         if not self.is_certain:
             items |= self.listed()
@@ -104,18 +106,18 @@
         return {i for i in items - self.withdrawn if i[0] not in loading}
 
     def removable(self) -> set[Item]:
-        """Returns the items that an order to unload would find in place."""
+        """Returns the items in place that can be unloaded."""
         if self.inventory is None:
             return set()
         return set(self.inventory.in_place - self.withdrawn)
 
     def holds(self, item: Item) -> bool:
-        """Whether a report has shown an item in place, and nothing since."""
+        """Whether an item is known to be in place and not being unloaded."""
         known = self.inventory
         return self.is_certain and known is not None and item in known.in_place
 
     def lacks(self, item: Item) -> bool:
-        """Whether a report has shown that an item takes no room."""
+        """Whether an item is known to take no memory."""
         known = self.inventory
         return self.is_certain and known is not None and item not in known.items
 
@@ -123,10 +125,10 @@
         """Returns the items in the engine's entry."""
         return fleet.list_items(self.endpoint.models)
 
-    # What tells it
+    # Updates
 
     def apply_entry(self, endpoint: fleet.Endpoint, now: float) -> None:
-        """Takes in the engine's entry in the list."""
+        """Applies the engine's entry in the list."""
         self.endpoint = endpoint
         self.listed_at = now
         self.previously_held |= {i for i in self.listed() if i[1]}
@@ -134,10 +136,10 @@
         self.changed.set()
 
     def apply_report(self, state: fleet.EngineState, now: float) -> bool:
-        """Takes in a report; returns whether it was new enough."""
+        """Applies a report; returns whether it was recent enough."""
         if not self._is_same_incarnation(state):
-            # Until the entry of a later start comes, nothing that is planned
-            # is meant for it.
+            # A report of a later incarnation makes the contents uncertain until
+            # the engine's new entry is received.
             self.is_certain &= state.born < self.endpoint.born
             return False
         is_old = now - self.counted_at < _MAX_REPORT_LAG_SECONDS
@@ -169,14 +171,14 @@
         return not born or not state.born or born == state.born
 
     def _forget_withdrawn(self) -> None:
-        """Forgets what is seen by nobody any more."""
+        """Drops withdrawn items that neither a report nor the list shows."""
         if self.is_certain and self.inventory is not None:
             self.withdrawn &= self.inventory.items | self.listed()
 
-    # A later start of the engine
+    # A later incarnation of the engine
 
     def note_unanswered(self, order: lease.Pending, now: float) -> None:
-        """Notes that an order got no answer and may be carried out late."""
+        """Records that an order got no answer and may be carried out late."""
         limit = now - _MAX_ORDER_DELAY_SECONDS
         self.unanswered = [(o, at) for o, at in self.unanswered if at > limit]
         self.unanswered.append((order, now))
@@ -184,10 +186,10 @@
     def begin_incarnation(
         self, endpoint: fleet.Endpoint, now: float
     ) -> "TrackedEngine":
-        """Returns the book of the engine's next start.
+        """Returns the state of the engine's next incarnation.
 
-        It holds nothing and counts from zero, so an order for the start before
-        that comes late names a count that is reached once more.
+        It holds nothing and counts its orders from zero. A late order for the
+        previous incarnation may therefore name a count that is reached again.
         """
         late = [(o, at + _MAX_ORDER_DELAY_SECONDS) for o, at in self.unanswered]
         if self.pending is not None:
@@ -199,10 +201,10 @@
         tracked_engine.apply_entry(endpoint, now)
         return tracked_engine
 
-    # What follows on an order
+    # Effects of orders
 
     def note_taken(self, order: lease.Pending, now: float) -> None:
-        """Notes that the engine carries an order out."""
+        """Records that the engine carries out an order."""
         item = (order.model, order.adapter)
         is_load = order.action is lease.Action.LOAD
         known = self._find_inventory(order)
@@ -218,11 +220,11 @@
             self._withdraw(item)
 
     def note_unloaded(self, order: lease.Pending, now: float) -> None:
-        """Notes that an adapter is unloaded by the time that was answered.
+        """Records that an adapter was unloaded when the answer was sent.
 
-        The answer is the same where there was nothing to unload. Then no
-        order was counted, and what is concluded here is no use to anybody:
-        an order with the next count is refused.
+        The engine gives the same answer where there was nothing to unload, and
+        counts no order then. A count that is wrong because of that does no
+        harm: the engine refuses an order that names it.
         """
         item = (order.model, order.adapter)
         known = self._find_inventory(order)
@@ -234,13 +236,13 @@
         self._withdraw(item)
 
     def note_uncertain(self) -> None:
-        """Notes that only a report can tell the count of orders again."""
+        """Marks the count of orders as unknown until the next report."""
         self.is_certain = False
 
     def _find_inventory(
         self, order: lease.Pending
     ) -> inventory_module.Inventory | None:
-        """Returns what is known for the count that an order named."""
+        """Returns the inventory if it is certain and at an order's count."""
         known = self.inventory
         if not self.is_certain or known is None:
             return None
@@ -269,12 +271,13 @@
     # For operators
 
     def describe_room(self, now: float) -> dict[str, str]:
-        """Returns what an order's room is worked out from, for the log.
+        """Returns the state that an order was based on, for the log.
 
         Returns:
-            `room`: every item that is charged, with a plus if it is on its
-            way and a minus if it is being unloaded; whether that is certain;
-            the ages of the last report and of the entry, seconds.
+            `room`: every charged item, with a plus if it is being loaded and
+            a minus if it is being unloaded; `certain`: whether that is
+            certain; `report_age`, `entry_age`: the ages of the last report and
+            of the entry, seconds.
         """
         return {
             "room": " ".join(
@@ -296,7 +299,7 @@
         return name + plus + minus
 
     def describe(self) -> dict[str, Any]:
-        """Returns what the state dump shows."""
+        """Returns the engine's state for the state dump."""
         return {
             "endpoint": self.endpoint,
             "orders": self.inventory.orders if self.inventory else None,
