--- a/src/wayslip/gateway/claims.py
+++ b/src/wayslip/gateway/claims.py
@@ -64,7 +64,7 @@
         self._hold_off_until = self._find_end_of_detached_orders()
 
     def note_no_predecessor(self) -> None:
-        """Ends the initial hold-off: no other instance held the lease before."""
+        """Ends the initial hold-off, as no other instance held the lease."""
         if self._store.era <= _FIRST_ERA:
             # In a later era the store may have lost another instance's lease.
             self._startup_hold_off_until = 0.0
@@ -85,7 +85,7 @@
         )
 
     def _find_end_of_detached_orders(self) -> float:
-        """Returns the end of the hold-off for a detached holder heard from now."""
+        """Returns until when orders of a detached holder may arrive."""
         distance = self._options.bounds.lease + lease.TRAVEL_SECONDS
         return clock.now() + detachment.HOLD_OFF_SECONDS + distance
 
--- a/src/wayslip/gateway/detached_operation.py
+++ b/src/wayslip/gateway/detached_operation.py
@@ -1,4 +1,4 @@
-"""The holder goes on without the store; see `decisions.detachment`."""
+"""Detached operation of the lease holder; see `decisions.detachment`."""
 
 import logging
 
@@ -13,7 +13,7 @@
 
 
 class DetachedOperation:
-    """Whether this instance may order engines while the store is away."""
+    """Decides whether this instance may order engines without the store."""
 
     def __init__(
         self,
@@ -24,9 +24,9 @@
         """Initializes the state.
 
         Args:
-            own_address: Where this instance hears its peers, "IP:PORT".
-            leadership: Its part in the lease.
-            members: What it hears from the others while it holds the lease.
+            own_address: This instance's address for peers, "IP:PORT".
+            leadership: The lease.
+            members: What the other instances report while it holds the lease.
         """
         self._own_address = own_address
         self._leadership = leadership
@@ -35,23 +35,23 @@
 
     @property
     def is_proposed(self) -> bool:
-        """Whether the others are told that we go on without the store."""
+        """Whether detached operation is announced to the other instances."""
         return self._judge().proposed_at is not None
 
     @property
     def is_granted(self) -> bool:
-        """Whether we may order engines without a write to the store."""
+        """Whether engines may be ordered without a write to the store."""
         return self._judge().is_granted
 
     def list_missing(self) -> list[fanout.Peer]:
-        """Returns instances to look for, because they must agree."""
+        """Returns unresponsive instances that must agree first."""
         if not self._leadership.is_renewal_overdue:
             return []
         missing = self._members.list_missing()
         return [p for p in missing if p.address != self._own_address]
 
     def _judge(self) -> detachment.Detachment:
-        """Looks again; what was granted a moment ago may be over."""
+        """Updates and returns the state; an earlier grant may have ended."""
         before = self._state
         if self._leadership.is_valid:
             self._members.forget_missing()
@@ -60,7 +60,7 @@
             self._state = before.judge(
                 self._members.list_words(term, self._own_address),
                 bool(self.list_missing()),
-                # At the resolution in which words in answer are told.
+                # At the resolution of the stamps in reports.
                 detachment.read_stamp(detachment.make_stamp(clock.now())),
             )
         else:
--- a/src/wayslip/gateway/leadership.py
+++ b/src/wayslip/gateway/leadership.py
@@ -1,4 +1,4 @@
-"""Holds the lease on planning, or knows who does."""
+"""Acquires and renews the lease on planning, or tracks its holder."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,40 +16,41 @@
 
 _LOG = logging.getLogger(__name__)
 NAME = "placement"
-# Between looks at the lease while its holder is silent, seconds.
+# Interval between reads of the lease while its holder is unresponsive.
 _CHECK_PERIOD_SECONDS = 0.6
-# Less than this is not waited for: sums of times are not exact, seconds.
+# Shorter waits are skipped, because sums of times are not exact.
 _MIN_WAIT_SECONDS = 0.001
-# Between writes of a holder whose last one had no answer, seconds.
+# Interval between writes of a holder whose last write had no answer.
 _REPEAT_SECONDS = 0.05
-# The same once others were told that it can not renew, seconds: it is still
-# the first to know that the store is back.
+# The same once it has announced that it can't renew the lease. It is still the
+# first to learn that the store is available again.
 _OVERDUE_REPEAT_SECONDS = 0.2
-# A renewal's answer is waited for this long, seconds: above what the store
-# takes when it is fifty times as slow as usual. Then it is sent again on a new
-# connection, because the answer may have been lost.
+# Time-out of a renewal: above what the store takes when it is fifty times as
+# slow as usual. The renewal is then repeated on a new connection, because its
+# answer may have been lost.
 _ANSWER_TIMEOUT_SECONDS = 0.3
-# Instances that see a free lease together try at different times, seconds.
+# Random delay before an attempt to take a free lease, so that instances that
+# see it at the same time try at different times.
 _JITTER_SECONDS = 0.3
-# One with little processor time leaves the lease to others for this long,
-# seconds divided by one and its cores: planning for a large fleet takes a good
-# part of a core, and requests there wait for it.
+# Delay before an attempt to take the lease, divided by one plus the instance's
+# cores. It favours instances with more processor time: planning for a large
+# fleet takes a considerable part of a core, and delays requests there.
 _CORES_DELAY_SECONDS = 0.3
-# One with a narrow link does so too, seconds at no link at all, half of that at
-# this many bytes a second (25 Mbit/s). All others have a large configuration
-# after the holder only, which needs 1.7 s for 1 MB over 5 Mbit/s: of 40
-# instances with 3 wide links the last had a second change after 2.9 s where
-# one with a narrow link held the lease, after 0.5 s else.
+# Delay that favours instances with more bandwidth: the full delay at none, half
+# of it at `_LINK_HALF_BYTES_PER_S` (25 Mbit/s). A large configuration reaches
+# the holder before all others, and 1 MB takes it 1.7 s over 5 Mbit/s. With 40
+# instances, 3 of them on wide links, the last one had a second change after
+# 2.9 s where the holder was on a narrow link, and after 0.5 s otherwise.
 _LINK_DELAY_SECONDS = 0.25
 _LINK_HALF_BYTES_PER_S = 3_125_000.0
 
 
 class Leadership:
-    """This instance's part in the lease.
+    """This instance's view of the lease, and its attempts to hold it.
 
     Attributes:
-        observed: The record as last read or written.
-        seen_term: The highest term seen; words of older ones are dropped.
+        observed: The record as last read, written or announced.
+        seen_term: The highest term seen; messages of older ones are dropped.
     """
 
     def __init__(
@@ -65,13 +66,14 @@
         """Initializes without the lease.
 
         Args:
-            options: The instance's facts.
-            store: Where the lease is kept.
-            kind: Of the record.
+            options: The instance's options.
+            store: Where the lease is stored.
+            kind: The kind of the stored record.
             on_taken: Called when this instance has taken the lease.
             on_lost: Called when it has lost it.
             find_pause: Returns the seconds to wait before an attempt that
-                others make too; given what one instance alone would wait.
+                other instances make too; given what a single instance would
+                wait.
             on_cut_off: Called when the store has stopped answering.
         """
         self._options = options
@@ -83,18 +85,19 @@
         self._on_cut_off = on_cut_off
         self._check_requested = asyncio.Event()
         self._check_requested.set()
-        # Set when a holder is heard to have renewed the lease.
+        # Set when a holder announces that it has renewed the lease.
         self._renewed = asyncio.Event()
         self._lock = asyncio.Lock()
         self._is_held = False
-        # The term whose holder said that it can not renew the lease.
+        # The term whose holder announced that it can't renew the lease.
         self._yielded_term = 0
-        # Until the store has answered once, it is taken as away.
+        # The store counts as unreachable until its first answer.
         self._is_cut_off = True
         self._own_term = 0
-        # Of a record that the store has lost, too.
+        # Includes terms of records that the store has lost.
         self._highest_term = 0
-        # Whether the store lost our lease, so that we may write it again.
+        # Whether the store lost this instance's lease, so that it may be
+        # written again.
         self._may_retake = False
         self._follows_another = False
         self._is_stopping = False
@@ -102,34 +105,34 @@
         self._renewal_timeout = renewal_timeout.RenewalTimeout()
         self.observed: lease.ObservedLease | None = None
 
-    # What others ask
+    # State
 
     @property
     def seen_term(self) -> int:
-        """The highest term that was seen; our own while we hold the lease."""
+        """The highest term seen; while the lease is held, its own term."""
         term = self.observed.lease.term if self.observed else 0
         return max(term, self._highest_term)
 
     @property
     def revision(self) -> int:
-        """Of the record as last read or written."""
+        """Revision of the observed record, 0 if there is none."""
         return self.observed.revision if self.observed else 0
 
     @property
     def is_held(self) -> bool:
-        """Whether we hold the lease, perhaps without being able to renew."""
+        """Whether this instance holds the lease, even if it can't renew it."""
         return self._is_held
 
     @property
     def follows_another(self) -> bool:
-        """Whether another instance held the lease before our term."""
+        """Whether another instance held the lease before this one."""
         return self._follows_another
 
     def note_renewal(self, revision: int) -> None:
-        """Takes in the revision of the holder's last renewal, from itself.
+        """Records the revision of the last renewal, as the holder announced.
 
-        A follower that knows since when the record has stood can take an
-        expired lease without watching the record for that time first.
+        A follower that knows since when the record is unchanged can take an
+        expired lease without observing the record for that time first.
         """
         if self.observed is None or self._is_held:
             return
@@ -137,13 +140,13 @@
             self.observed = lease.ObservedLease(
                 self.observed.lease, revision, clock.now()
             )
-            # The store is back, for the holder at least. Who needs to know
-            # whether it answers us too will have us ask it again.
+            # The store answers the holder, at least. Whether it answers this
+            # instance too shows at the next read, see `request_check`.
             self._is_cut_off = False
             self._renewed.set()
 
     def receive_detached(self, term: int) -> None:
-        """Takes in that the holder lives and goes on without the store."""
+        """Records that the holder runs and is in detached operation."""
         if self.observed is None or self._is_held:
             return
         if self._yielded_term == term:
@@ -153,18 +156,18 @@
         )
 
     def receive_yield(self, term: int) -> None:
-        """Takes in that the holder of a term says it can not go on."""
+        """Records that the holder of a term announced that it can't renew."""
         self._yielded_term = term
         self._check_requested.set()
 
     def receive_holder(self, term: int, revision: int, address: str) -> None:
-        """Takes in from a new holder that it has the lease.
+        """Records a new holder, as it announced itself.
 
-        This spares a read of the store, and it reaches a holder before that
-        is cut off from the store.
+        This saves a read of the store, and it also reaches a previous holder
+        that is disconnected from the store.
         """
         if self._is_held:
-            self._lose("a holder with a higher term is heard")
+            self._lose("a holder with a higher term announced itself")
         announced = lease.Lease("", address, term)
         self._may_retake = False
         self._highest_term = max(self.seen_term, term)
@@ -172,22 +175,22 @@
 
     @property
     def holder_address(self) -> str | None:
-        """Where the holder hears its peers, None if nobody is known."""
+        """The holder's address for peers, None if no holder is known."""
         return self.observed.lease.address if self.observed else None
 
     @property
     def is_renewal_overdue(self) -> bool:
-        """Whether our renewals have had no answer for too long."""
+        """Whether renewals by this instance got no answer for too long."""
         return self._renewal_timeout.has_expired
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether the store has not answered yet, or not when last asked."""
+        """Whether the store has not answered yet, or not the last call."""
         return self._is_cut_off
 
     @property
     def is_valid(self) -> bool:
-        """Whether we hold the lease and may rely on that now."""
+        """Whether this instance holds a lease that has not expired."""
         return (
             self._is_held
             and not self._renewal_timeout.has_expired
@@ -195,13 +198,13 @@
         )
 
     def request_check(self) -> None:
-        """Has the lease looked at, because its holder is silent."""
+        """Requests a check of the lease, because its holder is unresponsive."""
         self._check_requested.set()
 
     # The loop
 
     async def run(self) -> None:
-        """Renews the lease, or looks after its holder, for ever."""
+        """Renews the lease, or checks its holder, until cancelled."""
         while True:
             try:
                 await self._step()
@@ -216,8 +219,8 @@
             self._check_requested.clear()
             await self._check()
             return
-        # A holder whose lease ran out goes on writing: if that succeeds on
-        # the old revision, nobody has taken the lease meanwhile.
+        # A holder whose lease expired continues to write: if a write succeeds
+        # on the old revision, no other instance has taken the lease meanwhile.
         is_answered = self.is_valid and not self._renewal_timeout.is_pending
         pause = lease.RENEWAL_SECONDS if is_answered else _REPEAT_SECONDS
         if self._renewal_timeout.has_expired:
@@ -241,11 +244,12 @@
         self._check_requested.set()
 
     async def _wait_to_check(self) -> None:
-        """Waits for another look at the lease, or for a holder's renewal."""
+        """Waits for the next check of the lease, or for a holder's renewal."""
         self._renewed.clear()
         began = clock.now()
         jitter = random.uniform(0.7, 1.0)
-        # Looked up again and again, since the holder may fall silent.
+        # Repeated in short intervals, since the pause depends on whether the
+        # holder is responsive.
         while True:
             end = began + self._find_pause(_CHECK_PERIOD_SECONDS) * jitter
             left = end - clock.now()
@@ -259,7 +263,7 @@
                 pass
 
     async def _refresh(self) -> None:
-        """Reads the record after a write met another one."""
+        """Reads the record after a write conflicted with another one."""
         try:
             await self._read()
         except errors.ObjectError as e:
@@ -282,12 +286,12 @@
     def _observe(
         self, stored: store_module.Stored[lease.Lease], began: float
     ) -> None:
-        """Takes in a record that was read, which may be an own late write."""
+        """Applies a record that was read; it may be an own late write."""
         if (
             self.observed is not None
             and stored.revision < self.observed.revision
         ):
-            # An old answer, or one that the holder's word has overtaken.
+            # An outdated answer, or one that an announcement has overtaken.
             return
         self._highest_term = self.seen_term
         observed = lease.observe_lease(
@@ -318,12 +322,12 @@
             return
         await self._wait_until_free()
         await self._delay_attempt()
-        # One that the store did not answer goes on asking: the holder may be
-        # the only one that it turns away.
+        # An instance that the store did not answer continues with the read,
+        # because the store may turn away the holder only.
         if self._is_holder_active() and not self._is_cut_off:
             return
-        # An old record is harmless: it is written over only if it is the
-        # newest still.
+        # A stale read is harmless: the record is replaced only if it is still
+        # the newest one.
         observed = await self._read(may_be_stale=True)
         if observed is None:
             await self._take(None)
@@ -335,13 +339,14 @@
             await self._take(observed)
             return
         await asyncio.sleep(_CHECK_PERIOD_SECONDS)
-        # Unless the holder was heard meanwhile, whoever watches it asks again.
+        # The caller of `request_check` repeats it if the holder stays
+        # unresponsive.
 
     async def _retake(self) -> None:
-        """Takes the lease again where the store came back without it.
+        """Takes the lease again after the store was restored without it.
 
-        A record with an earlier term is of the copy, and its holder does not
-        hold the lease any more.
+        A record with an earlier term is from the restored copy, and its holder
+        no longer holds the lease.
         """
         observed = await self._read()
         self._may_retake = False
@@ -349,11 +354,11 @@
             await self._take(observed)
 
     async def _wait_until_free(self) -> None:
-        """Waits until a silent holder's lease has run out, if it is known when.
+        """Waits until an unresponsive holder's lease expires, if that is known.
 
-        Whoever looks before finds it still held, and looks again too late:
-        the instances that waited longest took it, which are those with the
-        least processor and link.
+        An instance that checks earlier finds the lease still held and checks
+        again too late. The lease then goes to the instances with the longest
+        delay, which are those with the fewest cores and the least bandwidth.
         """
         while (
             left := self._seconds_until_free()
@@ -376,7 +381,7 @@
         )
 
     def _is_holder_active(self) -> bool:
-        """Whether a holder spoke while we let others go first."""
+        """Whether the holder was heard from recently and has not yielded."""
         return (
             self.observed is not None
             and self._yielded_term != self.observed.lease.term
@@ -398,7 +403,7 @@
             stored = await self._store.create(self._kind, NAME, own_lease)
             if position.find_era(stored.revision) != era:
                 raise errors.ObjectConflictError(
-                    "the store lost writes meanwhile", "take it again"
+                    "the store lost writes meanwhile", "take the lease again"
                 )
         else:
             stored = await self._store.replace(
@@ -419,15 +424,16 @@
         self._on_taken()
 
     async def renew(self) -> None:
-        """Writes the lease once more, unless it was lost meanwhile.
+        """Renews the lease in the store, unless it was lost meanwhile.
 
         Raises:
-            ObjectConflictError: The lease is lost, or an answer was.
+            ObjectConflictError: The lease, or the answer to an earlier
+                renewal, was lost.
             ObjectUnavailableError: The store did not answer.
         """
         async with self._lock:
-            # Whoever lost the lease while it waited knows its successor's
-            # record by now, and would write over that.
+            # An instance that lost the lease while it waited for the lock may
+            # have observed its successor's record, and would overwrite it.
             if not self._is_held:
                 return
             assert self.observed is not None
@@ -446,7 +452,7 @@
             self._valid_until = began + lease.HOLD_SECONDS
 
     async def release(self) -> None:
-        """Gives the lease back at a planned stop."""
+        """Releases the lease at a planned stop."""
         self._is_stopping = True
         if not self._is_held or self.observed is None:
             return
@@ -466,8 +472,8 @@
         self._lose("it was released")
 
     def _lose_to_rollback(self) -> None:
-        """Loses the lease with what the store lost, until it is retaken."""
-        self._lose("the store came back from a copy without it")
+        """Handles that a restored store lost the lease; it may be retaken."""
+        self._lose("the store was restored from a copy without it")
         self._may_retake = not self._is_stopping
 
     def _lose(self, reason: str) -> None:
--- a/src/wayslip/gateway/renewal_timeout.py
+++ b/src/wayslip/gateway/renewal_timeout.py
@@ -1,4 +1,4 @@
-"""Whether the lease's holder may still rely on being able to renew it."""
+"""Time-out of the lease holder's renewals."""
 
 import asyncio
 import logging
@@ -6,41 +6,41 @@
 from wayslip import logs
 
 _LOG = logging.getLogger(__name__)
-# Renewals without an answer for so long let another instance plan, seconds:
-# two of them, and less than what is left of the lease.
+# After this time without an answer the holder yields the lease. It covers two
+# renewals and is less than what remains of the lease.
 _TIMEOUT_SECONDS = 0.6
 
 
 class RenewalTimeout:
-    """Runs from the first of the renewals that were not answered.
+    """Timer that starts with the first unanswered renewal.
 
     Attributes:
-        has_expired: Whether none was answered for too long.
+        has_expired: Whether no renewal was answered in time.
     """
 
     def __init__(self) -> None:
-        """Initializes without a doubt."""
+        """Initializes without a pending renewal."""
         self._timer: asyncio.TimerHandle | None = None
         self.has_expired = False
 
     @property
     def is_pending(self) -> bool:
-        """Whether a renewal is under way or was not answered."""
+        """Whether a renewal is in progress or was not answered."""
         return self._timer is not None
 
     def begin(self) -> None:
-        """Begins with a renewal, unless an earlier one is unanswered."""
+        """Starts the timer, unless it runs for an earlier renewal."""
         if self._timer is None:
             loop = asyncio.get_running_loop()
             self._timer = loop.call_later(_TIMEOUT_SECONDS, self.expire)
 
     def expire(self) -> None:
-        """Has the lease yielded, because its renewals are not answered."""
+        """Marks the time-out as expired, so that the lease is yielded."""
         self.has_expired = True
         logs.event(_LOG, "lease_doubtful", logging.WARNING)
 
     def end(self) -> None:
-        """Ends with an answer, or with the lease."""
+        """Stops the timer, after an answer or the loss of the lease."""
         self.has_expired = False
         if self._timer is not None:
             self._timer.cancel()
