--- a/src/wayslip/gateway/blocked_contents.py
+++ b/src/wayslip/gateway/blocked_contents.py
@@ -1,7 +1,7 @@
-"""Keeps what is condemned in the store, for when all instances end together.
+"""Stores blocked contents, so that they survive a crash of all instances.
 
-The lease's holder writes and removes one object for each content; each
-instance reads them at its start, and a new holder once more.
+The lease holder writes and removes one object for each content. Each instance
+reads them at its start, and a new holder again at the start of its term.
 """
 
 import asyncio
@@ -16,13 +16,13 @@
 from wayslip.gateway import store as store_module
 
 _LOG = logging.getLogger(__name__)
-# Between attempts to read them at the start, seconds; instances that start
-# together in a large fleet take longer.
+# Interval between attempts to read the objects at the start. It is longer where
+# many instances start together.
 _READ_RETRY_SECONDS = 1.0
 
 
 class BlockedContents:
-    """The objects in the store, and whether they are in line with us."""
+    """Synchronizes the stored objects with the blocked contents."""
 
     def __init__(
         self,
@@ -33,29 +33,30 @@
         """Initializes without any object read.
 
         Args:
-            store: Where they are kept.
+            store: Where they are stored.
             find_pause: Returns the seconds to wait before an attempt that
-                others make too; given what one instance alone would wait.
-            on_read: Is given the marks that were read.
+                other instances make too; given what a single instance would
+                wait.
+            on_read: Called with the crash records of each object read.
         """
         self._store = store
         self._find_pause = find_pause
         self._on_read = on_read
-        # Contents with their objects' revisions; None until they were read in
+        # Revisions of the objects by content; None until they were read in
         # this term.
         self._revisions: dict[bytes, int] | None = None
-        # What the store has lost is written again.
+        # A restored store may lack objects; those are written again.
         store.on_return(self.begin_term)
 
     def begin_term(self) -> None:
-        """Has them read again, since another holder may have changed them."""
+        """Has the objects read again; another holder may have changed them."""
         self._revisions = None
 
     async def read_at_start(self) -> None:
-        """Reads what the instances before us kept, however long it takes.
+        """Reads the objects of earlier processes, repeated until it succeeds.
 
-        The holder tells it too, but where all were killed together nobody
-        holds the lease for a while.
+        The lease holder announces them too, but after a crash of all instances
+        no instance holds the lease for a while.
         """
         while True:
             try:
@@ -70,7 +71,7 @@
             self._on_read(item.value.crash_records)
 
     async def read(self) -> bool:
-        """Reads them unless that was done in this term; returns whether."""
+        """Reads the objects once in a term; returns whether they were read."""
         if self._revisions is not None:
             return False
         listing = await self._store.list(records.SUSPECT)
@@ -84,11 +85,11 @@
         blocked: frozenset[bytes],
         list_crash_records: Callable[[bytes], list[suspicion.CrashRecord]],
     ) -> None:
-        """Brings the objects into line; they were read before.
+        """Creates missing objects and removes obsolete ones, after `read`.
 
         Args:
-            blocked: The contents that should be there.
-            list_crash_records: Returns the marks of one.
+            blocked: The contents that should be stored.
+            list_crash_records: Returns the crash records of a content.
 
         Raises:
             ObjectUnavailableError: The store did not answer.
@@ -110,5 +111,5 @@
                 )
                 del known[content]
         except errors.ObjectConflictError:
-            # An answer was lost, or another holder wrote it.
+            # An answer was lost, or another holder wrote the object.
             self._revisions = None
--- a/src/wayslip/gateway/quarantine.py
+++ b/src/wayslip/gateway/quarantine.py
@@ -1,10 +1,11 @@
-"""Keeps requests that end endpoints away from them, at all instances.
-
-An instance whose attempt breaks off looks whether the endpoint has ended: then
-nobody listens at its address. If so, all instances hear what was on its way
-there; `decisions.suspicion` judges. The lease's holder tells what is known
-again and again, for those that start or were cut off, and keeps what is
-condemned in the store, for when all instances end together.
+"""Quarantine of poison requests, which crash the endpoints that run them.
+
+An instance whose attempt broke off checks whether the endpoint has crashed: no
+process listens at its address then. If so, it announces the contents that were
+in progress there to all instances; `decisions.suspicion` decides which are
+blocked. The lease holder repeats what is known periodically, for instances that
+start or were disconnected, and stores the blocked contents, so that they
+survive a crash of all instances.
 """
 
 import asyncio
@@ -32,32 +33,34 @@
 from wayslip.http1 import client
 
 _LOG = logging.getLogger(__name__)
-# What was seen is told at once and again after these, seconds: a datagram that
-# is lost costs an endpoint more.
+# Pauses before each announcement of a change. It is repeated because a lost
+# datagram may cost another endpoint.
 _ANNOUNCE_PAUSES_SECONDS = (0.0, 0.2, 0.8, 1.5)
-# Between statements of the holder, seconds: an instance that starts or comes
-# back from a cut is to have it within three.
+# Interval between the lease holder's announcements. An instance that starts or
+# was disconnected is to be informed within 3 s.
 _REANNOUNCE_PERIOD_SECONDS = 1.0
-# What came up only once is told again by the holder for so long, seconds: those
-# that did not hear it are to know of it when it comes again.
+# How long the lease holder repeats a content with a single crash, so that
+# instances that missed it know of it when it is requested again.
 _REANNOUNCE_WINDOW_SECONDS = 15.0
-# Between the holder's looks at what it has to keep in the store, seconds.
+# Interval at which the lease holder updates the stored contents.
 _STEP_SECONDS = 0.25
-# Contents that endpoints answered lately, so that a common one on its way to an
-# endpoint that ends is no worse than others; each takes 100 bytes.
+# Maximum number of recently answered contents, at 100 bytes each. They are
+# remembered so that a common content in progress at a crash counts no more than
+# others.
 _MAX_ANSWERED = 2000
-# Instances that have all seen a content answered speak at different times, so
-# that one of them does, seconds.
+# Maximum random delay before an exemption is announced, so that one of the
+# instances that saw the content answered announces it instead of all.
 _EXEMPT_JITTER_SECONDS = 0.05
-# Between trials of a condemned content, seconds: longer than requests take.
+# Interval between probe requests of a blocked content; longer than requests
+# take.
 _PROBE_PERIOD_SECONDS = 20.0
-# Marks of one datagram, some 60 bytes each.
+# Crash records are some 60 bytes each.
 _MAX_RECORDS_PER_DATAGRAM = 300
 
 
 @dataclasses.dataclass
 class _BrokenAttempts:
-    """Attempts that broke off at one start of an endpoint."""
+    """Attempts that broke off at one incarnation of an endpoint."""
 
     at: float
     crash_records: dict[bytes, suspicion.CrashRecord] = dataclasses.field(
@@ -69,7 +72,7 @@
 
 
 class Quarantine:
-    """What this instance knows of such requests. On the event loop only."""
+    """What this instance knows of poison requests. Event loop only."""
 
     def __init__(
         self,
@@ -83,20 +86,21 @@
         """Initializes without any knowledge.
 
         Args:
-            store: Where what is condemned is kept.
-            leadership: Of the lease.
-            peer_broadcast: The other instances.
-            metrics: Where ends and contents are counted.
+            store: Where blocked contents are stored.
+            leadership: The lease.
+            peer_broadcast: Sends to the other instances.
+            metrics: Where crashes and contents are counted.
             reporter: The name of this instance.
             find_pause: Returns the seconds to wait before an attempt that
-                others make too; given what one instance alone would wait.
+                other instances make too; given what a single instance would
+                wait.
         """
         self._reporter = reporter
         self._leadership = leadership
         self._peer_broadcast = peer_broadcast
         self._metrics = metrics
         self._suspicion = suspicion.Suspicion()
-        # When condemned contents were last tried here; bounded by those.
+        # When blocked contents were last probed here; holds those only.
         self._probed_at: dict[bytes, float] = {}
         self._answered: collections.OrderedDict[bytes, None] = (
             collections.OrderedDict()
@@ -116,17 +120,17 @@
         return bool(self._suspicion)
 
     def find_depth(self, content: bytes) -> int:
-        """Returns how deep a content is in suspicion."""
+        """Returns the depth of suspicion of a content."""
         return self._suspicion.find_depth(content)
 
     def is_blocked(self, content: bytes) -> bool:
-        """Whether a content should reach no endpoint."""
+        """Whether a content must not be sent to any endpoint."""
         return self._suspicion.is_blocked(content)
 
     def begin_probe(self, content: bytes) -> bool:
-        """Returns whether a condemned content is to be sent once more now.
+        """Returns whether a blocked content is to be sent as a probe now.
 
-        Only the lease's holder tries, so that one endpoint at most ends.
+        Only the lease holder probes, so that at most one endpoint crashes.
         """
         now = clock.now()
         if not self._leadership.is_held:
@@ -143,11 +147,11 @@
         return True
 
     def find_left(self, content: bytes) -> float:
-        """Returns the seconds for which a condemned content stays so."""
+        """Returns the seconds for which a blocked content stays blocked."""
         return self._suspicion.find_left(content, clock.now())
 
     def note_answer(self, content: bytes) -> None:
-        """Notes that an endpoint answered a content: it ends none."""
+        """Records that an endpoint answered a content, which clears it."""
         self._answered[content] = None
         self._answered.move_to_end(content)
         if len(self._answered) > _MAX_ANSWERED:
@@ -156,7 +160,7 @@
             self.lift(content, "answered")
 
     def lift(self, content: bytes, reason: str) -> bool:
-        """Clears a content; returns whether it was under suspicion."""
+        """Clears a content; returns whether it was suspect."""
         crash_records = self._suspicion.list_crash_records(content)
         changed = self._suspicion.clear(crash_records, clock.now())
         if not changed:
@@ -179,17 +183,17 @@
         depth: int,
         open_connection: OpenConnection,
     ) -> None:
-        """Notes that an attempt broke off at an endpoint.
+        """Records that an attempt broke off at an endpoint.
 
         Args:
             endpoint: Where it was sent.
-            content: What was asked for.
-            depth: How deep that was in suspicion when it was sent.
-            open_connection: Makes a connection to an address; raises
+            content: The digest of the request's content.
+            depth: The content's depth of suspicion when it was sent.
+            open_connection: Opens a connection to an address; raises
                 NobodyListensError if the endpoint's process is gone.
         """
         if endpoint.is_leaving:
-            # It ends as planned, whatever is on its way there.
+            # Its process ends as planned, whatever requests are in progress.
             return
         start = endpoint.start
         broken = self._broken_attempts.get(start)
@@ -216,8 +220,8 @@
         endpoint: fleet.Endpoint,
         open_connection: OpenConnection,
     ) -> None:
-        """Finds out whether an endpoint has ended, or broke off only."""
-        # What breaks off in the same moment is to be there first.
+        """Determines whether an endpoint crashed or only reset connections."""
+        # Lets attempts that broke off at the same time be recorded first.
         await asyncio.sleep(0)
         try:
             address = addresses.split_address(endpoint.address)
@@ -226,7 +230,7 @@
         except errors.NobodyListensError:
             self._record_crash(start)
         except errors.NotSentError as e:
-            # It may be cut off, which says nothing of the requests.
+            # It may be unreachable, which shows nothing about the requests.
             logs.event(
                 _LOG,
                 "endpoint_not_looked_at",
@@ -237,7 +241,7 @@
             self._broken_attempts.pop(start, None)
 
     def _record_crash(self, start: fleet.Start) -> None:
-        """Takes in that an endpoint ended, and tells everybody."""
+        """Records that an endpoint crashed and announces it."""
         broken = self._broken_attempts[start]
         crash_records = list(broken.crash_records.values())
         logs.event(
@@ -256,7 +260,7 @@
             self._announce(facts.Suspects(tuple(changed)))
 
     def _update_blocked(self) -> None:
-        """Logs what came to be condemned, or is so no longer."""
+        """Updates the blocked contents and logs the changes."""
         blocked = frozenset(self._suspicion.list_blocked())
         for content in blocked - self._blocked:
             crash_records = self._suspicion.list_crash_records(content)
@@ -281,7 +285,7 @@
         }
 
     async def _exempt(self, content: bytes) -> None:
-        """Tells that a content was answered here, unless others do."""
+        """Announces that a content was answered here, unless others did."""
         await asyncio.sleep(random.uniform(0, _EXEMPT_JITTER_SECONDS))
         changed = self._suspicion.exempt((content,), clock.now())
         if changed:
@@ -292,12 +296,13 @@
     # Between instances
 
     def apply(self, message: facts.Suspects) -> None:
-        """Takes in what another instance tells."""
+        """Applies an announcement of another instance."""
         now = clock.now()
         self._suspicion.clear(message.cleared, now)
         self._suspicion.exempt(message.common, now)
         if self._suspicion.add(message.crash_records, now):
-            # As the lease's holder, for those whom the sender does not know.
+            # Has the lease holder repeat it at once, for instances that the
+            # sender does not know.
             self._announced_at = 0.0
         self._update_blocked()
 
@@ -324,7 +329,7 @@
             self._peer_broadcast.spread(chunk)
 
     def _reannounce(self) -> None:
-        """Tells what others may have missed."""
+        """Repeats what other instances may have missed."""
         now = clock.now()
         if now - self._announced_at < _REANNOUNCE_PERIOD_SECONDS:
             return
@@ -339,15 +344,18 @@
                 facts.Suspects(tuple(crash_records), tuple(cleared))
             )
 
-    # The lease's holder
+    # The lease holder
 
     def begin_term(self) -> None:
-        """Has the store read, because what it holds may not be known here."""
+        """Has the stored contents read again, as some may be unknown here."""
         self._blocked_contents.begin_term()
         self._announced_at = 0.0
 
     async def run(self) -> None:
-        """Forgets, and as the lease's holder tells and keeps, for ever."""
+        """Drops old records, and as lease holder announces and stores them.
+
+        Runs until cancelled.
+        """
         self._background_tasks.start(self._blocked_contents.read_at_start())
         while True:
             await asyncio.sleep(_STEP_SECONDS)
@@ -367,9 +375,9 @@
                 )
 
     async def _sync_store(self) -> None:
-        """Keeps in the store what is condemned; reads it first in a term."""
+        """Stores the blocked contents; reads those stored first in a term."""
         if await self._blocked_contents.read():
-            # Whoever started with us is to hear of it at once.
+            # Instances that started at the same time are informed at once.
             self._announced_at = 0.0
             self._reannounce()
         await self._blocked_contents.sync(
@@ -383,11 +391,11 @@
         self._update_blocked()
 
     def close(self) -> None:
-        """Ends what is still to be told or looked at."""
+        """Cancels pending announcements and checks."""
         self._background_tasks.cancel()
 
     def dump(self) -> list[dict[str, object]]:
-        """Returns the contents that are under suspicion, condemned first."""
+        """Returns suspect contents for the state dump, blocked ones first."""
         found: list[dict[str, object]] = []
         for content in self._suspicion.list_contents(1):
             crash_records = self._suspicion.list_crash_records(content)
--- a/src/wayslip/gateway/quota_accounts.py
+++ b/src/wayslip/gateway/quota_accounts.py
@@ -1,7 +1,7 @@
-"""The lease's holder's accounts of what organisations have sent.
+"""The lease holder's accounts of what organisations have used.
 
-Instances tell sums that only rise, so that a lost report is made up for by the
-next. See `decisions.quota`.
+Instances report cumulative sums, so that the next report compensates for a lost
+one. See `decisions.quota`.
 """
 
 from collections.abc import Iterable
@@ -15,22 +15,24 @@
 from wayslip.gateway import facts
 from wayslip.gateway import limits
 
-# Organisations told of with one state, those with the least left first; each
-# takes some 20 bytes of it.
+# Maximum number of organisations announced in one state, those with the least
+# available units first. Each takes some 20 bytes.
 _MAX_LEVELS = 200
-# An instance that was silent for this long is charged what it last sent on, as
-# it may be cut off and go on, seconds.
+# An instance not heard from for this long is charged at its last rate, because
+# it may be disconnected and still forward requests.
 _UNRESPONSIVE_SECONDS = 0.6
-# After this it has stopped, or comes back with its sums, seconds.
+# After this time it is removed: it has stopped, or returns with its sums.
 _REMOVAL_SECONDS = 5.0
 
 
 @dataclasses.dataclass
 class _Account:
-    """What one process of an instance told, for one organisation.
+    """Sums that one process of an instance reported for one organisation.
 
     Attributes:
-        assumed: Charged for the time in which it is silent.
+        asked: Units of all requests.
+        used: Units of the requests that were forwarded.
+        assumed: Units charged for the time since its last report.
     """
 
     asked: float
@@ -40,7 +42,7 @@
 
 @dataclasses.dataclass
 class _Member:
-    """An instance that reports; its accounts by organisation."""
+    """A reporting instance, with its accounts by organisation."""
 
     process: str
     number: int
@@ -50,7 +52,7 @@
 
 
 class QuotaAccounts:
-    """The lease's holder's accounts of all organisations."""
+    """The lease holder's accounts of all organisations."""
 
     def __init__(
         self,
@@ -70,7 +72,7 @@
         self._began_at = 0.0
 
     def begin(self) -> None:
-        """Begins a term with what the holder before told last."""
+        """Starts a term with the levels that the previous holder announced."""
         now = clock.now()
         self._settled_at = now
         self._began_at = now
@@ -83,7 +85,7 @@
             self._demand.set(name, quota_level.demand, now)
 
     def record_report(self, report: facts.Report) -> None:
-        """Takes in an instance's sums."""
+        """Records an instance's sums, unless its report is outdated."""
         now = clock.now()
         member = self._members.get(report.instance)
         if member is None or member.process != report.process:
@@ -93,12 +95,12 @@
         if report.number <= member.number:
             return
         member.number, member.received_at = report.number, now
-        announced = {s.organisation: s for s in report.spendings}
+        reported = {s.organisation: s for s in report.spendings}
         for name, account in member.accounts.items():
-            if name not in announced and account.assumed:
+            if name not in reported and account.assumed:
                 self._spend(name, -account.assumed, now)
                 account.assumed = 0.0
-        for name, spending in announced.items():
+        for name, spending in reported.items():
             self._charge(member, name, spending, now)
 
     def _charge(
@@ -106,7 +108,8 @@
     ) -> None:
         account = member.accounts.get(name)
         if account is None:
-            # Before this the process told the holder before us, or nobody.
+            # The earlier part of the sums was reported to a previous holder,
+            # or to none.
             account = _Account(spending.asked, spending.known)
             member.accounts[name] = account
         asked = spending.asked - account.asked
@@ -125,10 +128,10 @@
         self._levels[name] = level.spend(units)
 
     def _find_initial_units(self, name: str, now: float) -> float:
-        """Returns the level of an organisation that nobody told of.
+        """Returns the initial units of an organisation that was not announced.
 
-        While others are told of, it has its whole burst. Where nothing is
-        known, what was sent on before our term is not known either.
+        It has its whole burst if others were announced. If none was, the use
+        before this term is unknown too, and the units accrue from its start.
         """
         quota = self._quotas().get(name)
         if quota is None:
@@ -147,7 +150,7 @@
         }
 
     def list_levels(self) -> tuple[facts.Level, ...]:
-        """Returns what is told of the levels now."""
+        """Returns the organisations' levels to announce."""
         now = clock.now()
         self._charge_unresponsive(now)
         quotas = self._quotas()
@@ -169,7 +172,7 @@
         return tuple(level for _, level in found[:_MAX_LEVELS])
 
     def should_announce(self, announced: Iterable[facts.Level]) -> bool:
-        """Whether an organisation has come to its limit since that was told."""
+        """Whether an organisation reached its limit since the announcement."""
         now = clock.now()
         before = {level.organisation: level.level for level in announced}
         for name, quota in self._quotas().items():
@@ -185,7 +188,7 @@
         return False
 
     def _charge_unresponsive(self, now: float) -> None:
-        """Charges instances that are not heard what they may send on."""
+        """Charges instances not heard from for what they may forward."""
         elapsed = now - self._settled_at
         self._settled_at = now
         for instance, member in list(self._members.items()):
--- a/src/wayslip/gateway/records.py
+++ b/src/wayslip/gateway/records.py
@@ -1,4 +1,4 @@
-"""The gateway's own objects in the store, as plain JSON values."""
+"""The gateway's own stored objects, encoded as JSON values."""
 
 import dataclasses
 from typing import Any
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspect:
-    """A content that reaches no endpoint, and what it is suspected for."""
+    """A blocked content and the crash records that it is suspected for."""
 
     content: bytes
     crash_records: tuple[suspicion.CrashRecord, ...]
@@ -101,11 +101,11 @@
 LEASE: store.Kind[lease.Lease] = store.Kind(
     "wayslip-leases", _decode_lease, _encode_lease
 )
-# One for each engine, under the engine's id.
+# One object for each engine, named by the engine's id.
 CLAIM: store.Kind[lease.Claim] = store.Kind(
     "wayslip-claims", _decode_claim, _encode_claim
 )
-# One for each content that is condemned, under its digest.
+# One object for each blocked content, named by its digest in hex.
 SUSPECT: store.Kind[Suspect] = store.Kind(
     "wayslip-suspects", _decode_suspect, _encode_suspect
 )
