--- a/tests/gateway/test_adapters.py
+++ b/tests/gateway/test_adapters.py
@@ -1,4 +1,4 @@
-"""Adapters are loaded ahead only where they can be."""
+"""Adapters are preloaded only where memory and rate limits permit it."""
 
 from tests.gateway import test_order_sender
 from wayslip.decisions import manifest
@@ -17,7 +17,7 @@
 
 
 def preload(weights_mb, notices=None):
-    """Returns how many loads are started on an engine that holds 100 MB."""
+    """Returns how many loads start on an engine that holds 100 MB."""
     model = manifest.Model("m1", 100.0, 10.0, ("a1",), 1.0, 1.0, 1.0)
     pool = manifest.Pool(8, 1000, weights_mb, 2, 1.0, {"m1": model})
     tracked_engine = test_order_sender.make_tracked_engine("m1")
@@ -40,14 +40,13 @@
 
 
 def test_load_that_does_not_fit_is_not_started():
-    # Its end woke the planner, which started it again: the process took all
-    # of its processor time until something else changed (bellandi trouble-3,
-    # seed 2, after all instances were killed).
+    # The end of a task wakes the planner. A task that can't do anything would
+    # be started again at once, in a busy loop that takes all processor time.
     assert preload(109.0) == 0
 
 
 def test_adapter_is_not_loaded_ahead_on_a_rate_limited_engine():
-    # Its orders and reports take the places that requests need.
+    # Orders and reports would use the permits that requests need.
     notices = endpoint_notices_module.EndpointNotices()
     start = test_order_sender.make_tracked_engine("m1").endpoint.start
     notices.note_limit(start, 1.0, 0.0)
--- a/tests/gateway/test_deadly_requests.py
+++ b/tests/gateway/test_deadly_requests.py
@@ -1,21 +1,10 @@
-"""Requests that end the engines that run them.
-
-Callers got 502 while one engine after the other ended, and some eighteen
-streams broke off with each. All ends had one thing in common: among the
-requests on their way to the engine was one with the same path, caller and body
-as before, sent again under a new id, mostly at another instance. Nothing
-outlived an attempt, so each repeat was a first attempt. On a day like that the
-lines of broken attempts name five engines; ten of them have one digest, every
-other digest occurs once:
-
-    5.50  attempt_unclear endpoint=i-7a6d066430 content=215695 (8 others there)
-    12.00 attempt_unclear endpoint=i-edddf18d21 content=215695 (14)
-    18.50 attempt_unclear endpoint=i-1021bfbdd6 content=215695 (14)
-    20.75 attempt_unclear endpoint=i-fd7067e2fe content=215695 (18)
-    24.00 attempt_unclear endpoint=i-9c72c8b95e content=215695 (9)
-
-Now whoever sees an engine end tells all instances what was on its way there,
-and what came again before another end is sent no more.
+"""Poison requests: requests that crash the engines that run them.
+
+A caller that repeats such a request, mostly at another instance and under a new
+id, crashes one engine after the other, and some eighteen streams break off with
+each. No single attempt reveals it, but the same content is in progress at each
+crash. An instance that observes a crash therefore announces the contents in
+progress to all instances, and repeated ones are blocked.
 """
 
 import asyncio
@@ -32,7 +21,7 @@
 from wayslip.gateway import records
 
 POISON = b"deadly"
-# Nobody who is refused should take an engine with it after so many ends.
+# Maximum number of engines that a poison request may crash.
 MAX_CRASHES = 3
 
 
@@ -44,7 +33,7 @@
 
 
 async def hang(engine, request, line):
-    """Answers nothing before it is ended."""
+    """Sends no answer until the connection ends."""
     await line.reader.read(1)
 
 
@@ -86,7 +75,7 @@
 
 
 async def block_poison(system, gateway):
-    """Sends the deadly request until it is condemned everywhere."""
+    """Sends the poison request until an instance has blocked it."""
     for n in range(2):
         await ask(system, gateway, f"c{n}", POISON)
         await system.until(lambda: gateway._quarantine)
@@ -264,9 +253,9 @@
 
 @harness.run
 async def test_three_attempts_at_one_crashed_engine_block_a_request(system):
-    # On a day on which 0.4 of a route's requests were the same one, three were
-    # at the first engine as it ended, and eight more were sent to the others
-    # until the next one ended 5 s later.
+    # Where many of a route's requests have the same content, several are in
+    # progress at the first crash. The content must be blocked then already: 5 s
+    # passed until the next crash, in which eight more were sent to engines.
     is_full = asyncio.Event()
 
     async def end_when_full(engine, request, line):
@@ -343,8 +332,9 @@
 
 @harness.run
 async def test_instance_without_peers_announces_to_the_holder(system):
-    # All gateways had just started. One saw two engines end under a request and
-    # knew no peers to tell, so two more ended: soak seed 2106.
+    # An instance that has just started may know no peers when it observes
+    # crashes. Without an announcement to the lease holder, further engines
+    # crashed (soak seed 2106).
     other = await system.join("g2")
     third = await system.join("g3")
     gateways = [system.gateway, other, third]
--- a/tests/gateway/test_detached_operation.py
+++ b/tests/gateway/test_detached_operation.py
@@ -1,4 +1,4 @@
-"""The holder goes on ordering engines while the store answers nobody."""
+"""Detached operation: the holder orders engines without the store."""
 
 import asyncio
 import dataclasses
@@ -56,7 +56,7 @@
 
 
 def test_new_holder_lists_announced_peers_as_missing():
-    # It may be one that took the lease after ours, unheard.
+    # A missing instance may have taken the lease meanwhile, unnoticed.
     members = members_module.Members()
     members.adopt_peers((("10.0.0.1:2", "h"),))
     members.begin()
@@ -66,7 +66,7 @@
 
 
 async def load_without_store(system, engine):
-    """Asks for a model until it is loaded; the store is silent."""
+    """Requests a model until it is loaded, while the store is unreachable."""
     for number in range(80):
         answer = await test_placement.ask(system, "m2", f"r{number}")
         if answer.status == 200:
@@ -77,8 +77,8 @@
 
 @harness.run
 async def test_models_are_loaded_while_the_store_is_unreachable(system):
-    # For all of an outage of eight seconds nothing was loaded, and demand that
-    # moved meanwhile was refused until long after it.
+    # Without detached operation nothing is loaded during an outage of the
+    # store, and demand that shifts meanwhile is refused until long after it.
     engine = await system.add(
         "e1", "models", ["m1"], test_requests.stream_whole
     )
@@ -89,7 +89,7 @@
     assert await load_without_store(system, engine)
     assert "m2" in engine.models
     assert len(system.store.objects.get("wayslip-claims", {})) == writes
-    # The other one keeps away from the engine for a while.
+    # The other instance holds off from the engine for a while.
     assert not other._order_sender.claims.may_claim("e1")
     system.store.faults.is_silent = False
     await system.until(lambda: system.gateway.leadership.is_valid)
@@ -102,7 +102,7 @@
     other = await system.join("g2")
     holder = system.gateway
     await system.until(lambda: holder.leadership.is_valid)
-    # Only the holder's calls fail.
+    # Only the holder's renewals time out; the other reaches the store.
     holder.leadership._renewal_timeout.expire()
     detached_operation = holder._announcer._detached_operation
     for _ in range(20):
--- a/tests/gateway/test_leadership.py
+++ b/tests/gateway/test_leadership.py
@@ -1,4 +1,4 @@
-"""Who plans, with the store's answers and what holders say of themselves."""
+"""Acquisition and loss of the lease, by the store and by announcements."""
 
 import asyncio
 
@@ -70,8 +70,8 @@
 
 @with_members
 async def test_yielded_term_is_taken_once(standin, members):
-    # Two instances took the lease one after the other on one word of the
-    # holder before, and nobody planned for seconds.
+    # One announcement of a holder that yields must not let two instances take
+    # the lease one after the other: no instance plans for seconds then.
     await until(lambda: holders(members))
     holder = holders(members)[0]
     holder.task.cancel()
@@ -137,8 +137,9 @@
 async def test_unanswered_renewal_is_repeated_before_the_timeout(
     standin, members
 ):
-    # Lost answers let the lease change hands five times in ten seconds, and
-    # after each change engines rest (hbmaa-grown trouble-3).
+    # A lost answer must not cost the lease: after each change of the holder
+    # engines receive no orders for a while. With several lost answers the
+    # lease changed hands five times in ten seconds.
     await until(lambda: holders(members))
     holder = holders(members)[0]
     expirations = []
@@ -155,8 +156,8 @@
 async def test_former_holder_does_not_overwrite_its_successors_lease(
     standin, members
 ):
-    # A holder that stopped or was followed went on to renew, on the record of
-    # its successor, which lost the lease by that: nobody planned for 2 s.
+    # A former holder must not continue to renew, on its successor's record. The
+    # successor loses the lease by that, and no instance plans for 2 s.
     await until(lambda: holders(members))
     holder = holders(members)[0]
     others = [m for m in members if m is not holder]
@@ -165,7 +166,8 @@
         member.leadership.request_check()
     await until(lambda: holders(others))
     taken = holders(others)[0].leadership
-    # As its first statement tells the one before, still between renewals.
+    # The successor's first announcement reaches the former holder between two
+    # renewals.
     holder.leadership.receive_holder(
         taken.seen_term, taken.revision, "127.0.0.1:9"
     )
--- a/tests/gateway/test_order_sender.py
+++ b/tests/gateway/test_order_sender.py
@@ -35,7 +35,7 @@
     )
 
 
-# What may be held
+# Contents of tracked engines
 
 
 def load(orders, item):
@@ -47,15 +47,15 @@
 
 
 def make_reported_engine(orders, *models, at=NOW, **fields):
-    """Returns a book that a report was taken into."""
+    """Returns a tracked engine that a report was applied to."""
     tracked_engine = make_tracked_engine(*models)
     tracked_engine.apply_report(state(orders, *models, **fields), at)
     return tracked_engine
 
 
 def test_report_shows_more_than_an_old_entry():
-    # A holder that took over had an entry without a model that was loaded
-    # since, and ordered the engine over its memory.
+    # Guards against a new holder that relies on an outdated entry without a
+    # recently loaded model, and exceeds the engine's memory with its orders.
     tracked_engine = make_tracked_engine("m1")
     assert tracked_engine.apply_report(state(3, "m1", "m2"), NOW)
     assert tracked_engine.charged() == {M1, M2}
@@ -80,8 +80,8 @@
 
 
 def test_outdated_entry_does_not_free_a_reported_item():
-    # An entry of before the load came after one that showed the model, and
-    # the engine was ordered over its memory (hbmaa mix --seed 996805638734).
+    # Guards against exceeding an engine's memory when an entry from before a
+    # load arrives after one that shows the model.
     tracked_engine = make_reported_engine(2, "m1")
     old = tracked_engine.endpoint
     tracked_engine.note_taken(load(2, M2), NOW)
@@ -92,8 +92,8 @@
 
 
 def test_outdated_entry_does_not_end_an_unload():
-    # The unload was refused, or never reached the engine, and its note stood
-    # until an entry of before the load: nine adapters at eight places.
+    # An unload that was refused or lost must not be considered done because of
+    # an entry from before the load. That gave nine adapters for eight slots.
     tracked_engine = make_reported_engine(2, "m1", "m2")
     tracked_engine.withdrawn.add(M2)
     old = dataclasses.replace(
@@ -104,7 +104,8 @@
 
 
 def test_outdated_entry_does_not_charge_an_absent_item():
-    # Victims that were not there were ordered away, and counted wrongly.
+    # Unloads of eviction victims that are not in place would make the count of
+    # orders wrong.
     tracked_engine = make_reported_engine(2, "m1")
     listed = {"m1": frozenset(), "m2": frozenset()}
     tracked_engine.apply_entry(
@@ -173,7 +174,7 @@
 
 
 def test_engine_busy_with_another_order_becomes_uncertain():
-    # What it loads is shown by nobody, and its count is told all the same.
+    # The report shows the new count of orders, but not the item being loaded.
     tracked_engine = make_reported_engine(1, "m1")
     tracked_engine.apply_report(state(2, "m1", is_busy=True), NOW)
     assert not tracked_engine.is_certain
@@ -188,8 +189,8 @@
 
 
 def test_model_that_is_still_loading_is_not_usable():
-    # A successor told its peers that an adopted load was done, and they sent
-    # requests that were all turned away.
+    # A new holder must not announce an adopted load as done early: requests
+    # sent to the engine then are all refused.
     tracked_engine = make_reported_engine(0, "m1")
     tracked_engine.note_taken(load(0, M2), NOW)
     assert M2 not in tracked_engine.usable()
@@ -286,7 +287,7 @@
         fixture.tracked_engine, lease.Action.LOAD, M2
     )
     assert outcome is engines_module.OrderOutcome.TAKEN
-    # It was carried out once, and the count shows that.
+    # The count shows that it was carried out, so it is not sent again.
     assert len(fixture.engine.orders) == 1
     assert fixture.tracked_engine.inventory.orders == 1
 
@@ -348,8 +349,9 @@
 
 @with_engine
 async def test_restarted_process_holds_off_from_its_own_claims(fixture):
-    # Another holder may have ordered the engine without a claim since; see
-    # `stateful/test_detached_orders.py`, seeds 1388 and 3879.
+    # Another holder may have ordered the engine without a claim since, in
+    # detached operation; see `stateful/test_detached_orders.py`, seeds 1388 and
+    # 3879.
     await fixture.order_sender.order(
         fixture.tracked_engine, lease.Action.LOAD, M2
     )
@@ -388,8 +390,8 @@
 
 @with_engine
 async def test_order_after_an_adapter_unload_is_taken_at_once(fixture):
-    # Reports still told the count of before the unload, and up to ten orders
-    # in a row were refused (ctta-grown quiet-1, adapters at 10.4 s).
+    # Reports lag behind the unload. Relying on their count of orders got up to
+    # ten orders in a row refused.
     fixture.engine.models = {"m1": ["a1"]}
     fixture.engine.report_lag = 0.5
     await fixture.order_sender.sync_until_certain(fixture.tracked_engine)
@@ -416,8 +418,8 @@
 
 @with_engine
 async def test_order_without_effect_is_not_sent(fixture):
-    # The engine answers that it holds already, whether it does or not, and
-    # counts no order; the next ones were refused for two seconds.
+    # The engine answers "held" to such an order without counting it. Counting
+    # it here got the next orders refused for two seconds.
     await fixture.order_sender.sync_until_certain(fixture.tracked_engine)
     outcomes = engines_module.OrderOutcome
     load, unload = lease.Action.LOAD, lease.Action.UNLOAD
