--- a/src/wayslip/gateway/adapters.py
+++ b/src/wayslip/gateway/adapters.py
@@ -1,7 +1,7 @@
-"""Loads adapters when requests wait for them, and ahead where there is room.
+"""Loads adapters that requests wait for, and preloads others into free slots.
 
-While an engine loads a model it takes no order for an adapter, so what is
-there before spares a refusal.
+While an engine loads a model it takes no order for an adapter. An adapter that
+is preloaded can serve requests during that time.
 """
 
 from collections.abc import Callable
@@ -20,24 +20,24 @@
 from wayslip.gateway import planner_inputs
 from wayslip.gateway import tracked_engines as tracked_engines_module
 
-# Time that an adapter takes to load, seconds and seconds for each megabyte,
-# twice what the users' sheets say (5 to 6.3 ms for 12 MB, 14 to 19 for 66);
-# one that the engine has held before takes a tenth.
-_SECONDS = 0.01
-_SECONDS_PER_MB = 0.00045
-_HELD_BEFORE = 0.1
-# An adapter that was loaded for a request is not taken away before that
-# request and its like were counted, seconds: some reports.
+# Expected time to load an adapter, a constant and a part for each megabyte:
+# twice the specified times (5 to 6.3 ms for 12 MB, 14 to 19 ms for 66 MB). An
+# adapter that the engine has held before takes a tenth of it.
+_LOAD_SECONDS = 0.01
+_LOAD_SECONDS_PER_MB = 0.00045
+_RELOAD_FACTOR = 0.1
+# An adapter that was loaded for a request is not evicted until the reports have
+# counted that request and similar ones, which takes some reports.
 _SETTLE_SECONDS = 1.0
-# An adapter in use at least so often is not taken away, requests a second.
-_IN_USE = 0.5
+# Adapters with a higher rate of requests than this are not evicted.
+_IN_USE_PER_S = 0.5
 
 LoadRequest = tuple[str, str, str]
 Starter = Callable[[Coroutine[Any, Any, None]], Any]
 
 
 class Adapters:
-    """Carries out wishes for adapters of models that are loaded."""
+    """Loads and evicts adapters of models that are loaded."""
 
     def __init__(
         self,
@@ -47,69 +47,70 @@
         announce_changes: Callable[[], None],
         notify_waiting: Callable[
             [LoadRequest, tracked_engines_module.TrackedEngine], None
-        ] = (lambda wish, tracked_engine: None),
+        ] = (lambda request, tracked_engine: None),
         notices: endpoint_notices_module.EndpointNotices | None = None,
     ) -> None:
-        """Initializes without any series.
+        """Initializes without any task.
 
         Args:
-            order_sender: Gives the orders.
-            members: Knows how often adapters are asked for.
-            start: Starts a series.
-            announce_changes: Has the instances told soon what changed.
-            notify_waiting: Tells those who wait for an adapter at once.
-            notices: What engines said of themselves.
+            order_sender: Sends the orders.
+            members: Provides the rates of requests for adapters.
+            start: Starts a task.
+            announce_changes: Schedules an announcement of what changed.
+            notify_waiting: Immediately notifies instances that wait for an
+                adapter.
+            notices: Rate limits and back-offs that engines announced.
         """
-        self._words = notices or endpoint_notices_module.EndpointNotices()
+        self._notices = notices or endpoint_notices_module.EndpointNotices()
         self._order_sender = order_sender
         self._members = members
         self._start = start
         self._announce_changes = announce_changes
         self._notify_waiting = notify_waiting
-        self._coming: set[LoadRequest] = set()
+        self._loading: set[LoadRequest] = set()
 
-    def wish(
+    def request_load(
         self,
         service: str,
         pool: manifest.Pool,
         tracked_engines: list[tracked_engines_module.TrackedEngine],
         item: tuple[str, str],
     ) -> bool:
-        """Starts to load an adapter where its model is.
+        """Starts to load an adapter on an engine that holds its model.
 
         Returns:
-            Whether nothing more has to be done for it: it is there, on its
-            way, or of a model that nobody knows.
+            Whether the request needs no retry: the adapter is in place or
+            loading, or its model is unknown.
         """
-        wish = (service, *item)
+        request = (service, *item)
         spec = pool.models.get(item[0])
-        if spec is None or wish in self._coming:
+        if spec is None or request in self._loading:
             return True
-        there = [
+        holders = [
             b for b in tracked_engines if item in b.charged() - b.withdrawn
         ]
-        if there:
-            if item in there[0].usable():
-                self._notify_waiting(wish, there[0])
+        if holders:
+            if item in holders[0].usable():
+                self._notify_waiting(request, holders[0])
             return True
         tracked_engine = self._choose(pool, tracked_engines, item[0])
         if tracked_engine is None:
             return False
-        self._coming.add(wish)
-        self._start(self._carry_out(wish, tracked_engine, pool, spec))
+        self._loading.add(request)
+        self._start(self._carry_out(request, tracked_engine, pool, spec))
         return True
 
-    def fill(
+    def preload(
         self,
         service: str,
         pool: manifest.Pool,
         tracked_engines: list[tracked_engines_module.TrackedEngine],
     ) -> None:
-        """Loads adapters that are nowhere into free places, one an engine."""
+        """Loads adapters that no engine holds into free slots, one each."""
         now = clock.now()
-        anywhere = set().union(*(b.charged() for b in tracked_engines)) | {
+        placed = set().union(*(b.charged() for b in tracked_engines)) | {
             (model, adapter)
-            for name, model, adapter in self._coming
+            for name, model, adapter in self._loading
             if name == service
         }
         for tracked_engine in tracked_engines:
@@ -117,26 +118,26 @@
                 tracked_engine.endpoint.name
             )
             if (
-                self._is_in_need(tracked_engine)
+                self._is_constrained(tracked_engine)
                 or not planner_inputs.is_free(tracked_engine, may_claim, now)
                 or tracked_engine.lock.locked()
                 or planner_inputs.count_adapters(tracked_engine)
                 >= pool.adapter_slots
             ):
                 continue
-            item = self._find_missing(service, pool, tracked_engine, anywhere)
-            # A series that can only end at once would be started again and
-            # again: it wakes the planner when it ends.
+            item = self._find_missing(service, pool, tracked_engine, placed)
+            # A task for an adapter that does not fit would end at once, wake
+            # the planner and be started again in a busy loop.
             if item is None or not _fits(
                 tracked_engine, pool, pool.models[item[0]]
             ):
                 continue
-            anywhere.add(item)
-            wish = (service, *item)
-            self._coming.add(wish)
+            placed.add(item)
+            request = (service, *item)
+            self._loading.add(request)
             self._start(
                 self._carry_out(
-                    wish, tracked_engine, pool, pool.models[item[0]], False
+                    request, tracked_engine, pool, pool.models[item[0]], False
                 )
             )
 
@@ -145,15 +146,15 @@
         service: str,
         pool: manifest.Pool,
         tracked_engine: tracked_engines_module.TrackedEngine,
-        anywhere: set[tuple[str, str]],
+        placed: set[tuple[str, str]],
     ) -> tuple[str, str] | None:
-        """Returns the adapter that an engine should load ahead."""
+        """Returns the most requested adapter that an engine should preload."""
         missing = [
             (model, adapter)
             for model, held in tracked_engine.usable()
             if not held and model in pool.models
             for adapter in pool.models[model].adapters
-            if (model, adapter) not in anywhere
+            if (model, adapter) not in placed
         ]
         return max(
             missing,
@@ -167,17 +168,20 @@
         tracked_engines: list[tracked_engines_module.TrackedEngine],
         model: str,
     ) -> tracked_engines_module.TrackedEngine | None:
-        # While it loads a model, an engine takes no order for an adapter.
+        # Engines that load a model are left out: they take no order for an
+        # adapter meanwhile.
         now = clock.now()
         found = {
             b.endpoint.name: b
             for b in tracked_engines
             if (model, "") in b.usable()
-            and planner_inputs.is_backing_off(b, now)
+            and planner_inputs.is_idle(b, now)
             and self._order_sender.claims.may_claim(b.endpoint.name)
         }
-        able = {n: b for n, b in found.items() if not self._is_in_need(b)}
-        found = able or found
+        unconstrained = {
+            n: b for n, b in found.items() if not self._is_constrained(b)
+        }
+        found = unconstrained or found
         usages = self._members.total_usages()
         name = loading.choose_adapter_engine(
             {n: planner_inputs.count_adapters(b) for n, b in found.items()},
@@ -186,26 +190,26 @@
         )
         return found[name] if name is not None else None
 
-    def _is_in_need(
+    def _is_constrained(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> bool:
-        """Whether an engine takes less than it could."""
+        """Whether an engine is rate-limited or backing off."""
         endpoint = tracked_engine.endpoint
-        limit = self._words.find_limit(endpoint.start)
-        return limit is not None or self._words.find_backoff(endpoint) > 0
+        limit = self._notices.find_limit(endpoint.start)
+        return limit is not None or self._notices.find_backoff(endpoint) > 0
 
     async def _carry_out(
         self,
-        wish: LoadRequest,
+        request: LoadRequest,
         tracked_engine: tracked_engines_module.TrackedEngine,
         pool: manifest.Pool,
         spec: manifest.Model,
-        may_drop: bool = True,
+        may_evict: bool = True,
     ) -> None:
         try:
-            await self._load(tracked_engine, pool, spec, wish[2], may_drop)
+            await self._load(tracked_engine, pool, spec, request[2], may_evict)
         finally:
-            self._coming.discard(wish)
+            self._loading.discard(request)
 
     async def _load(
         self,
@@ -213,7 +217,7 @@
         pool: manifest.Pool,
         spec: manifest.Model,
         adapter: str,
-        may_drop: bool,
+        may_evict: bool,
     ) -> None:
         item = (spec.name, adapter)
 
@@ -221,7 +225,7 @@
             return _fits(tracked_engine, pool, spec)
 
         if not fits() and not (
-            may_drop and await self._drop_one(tracked_engine)
+            may_evict and await self._evict_one(tracked_engine)
         ):
             return
         outcome = await self._order_sender.order(
@@ -229,12 +233,12 @@
         )
         if outcome not in engines.DONE:
             return
-        seconds = _SECONDS + spec.adapter_mb * _SECONDS_PER_MB
-        if item in tracked_engine.had:
-            seconds *= _HELD_BEFORE
-        tracked_engine.had.add(item)
-        if may_drop:
-            tracked_engine.adapter_at[item] = clock.now()
+        seconds = _LOAD_SECONDS + spec.adapter_mb * _LOAD_SECONDS_PER_MB
+        if item in tracked_engine.previously_held:
+            seconds *= _RELOAD_FACTOR
+        tracked_engine.previously_held.add(item)
+        if may_evict:
+            tracked_engine.adapter_loaded_at[item] = clock.now()
         if item in tracked_engine.added:
             tracked_engine.added[item] = clock.now() + seconds
         self._notify_waiting(
@@ -242,17 +246,18 @@
         )
         self._announce_changes()
 
-    async def _drop_one(
+    async def _evict_one(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> bool:
-        """Unloads the adapter that is used least; returns whether it went."""
+        """Unloads the least used adapter; returns whether it is gone."""
         if not any(adapter for _, adapter in tracked_engine.removable()):
-            # What no report has shown in place yet can not be taken away.
+            # Only items that a report has shown in place can be unloaded.
             await self._order_sender.sync(tracked_engine)
         item = self._choose_victim(tracked_engine)
         if item is None:
             return False
-        # At once, so that another wish for this engine chooses another one.
+        # Set before the order, so that another load request for this engine
+        # selects another victim.
         tracked_engine.withdrawn.add(item)
         outcome = await self._order_sender.order(
             tracked_engine, lease.Action.UNLOAD, item
@@ -260,21 +265,22 @@
         if outcome not in engines.DONE:
             tracked_engine.withdrawn.discard(item)
         self._announce_changes()
-        # An adapter is unloaded by the time that is answered.
+        # Engines answer the unload of an adapter once it is done.
         return outcome is engines.OrderOutcome.HELD
 
     def _choose_victim(
         self, tracked_engine: tracked_engines_module.TrackedEngine
     ) -> fleet.Item | None:
-        """Returns the adapter that is used least, None if all are needed."""
+        """Returns the least used adapter, None if all are in use."""
         service = tracked_engine.endpoint.service
         limit = clock.now() - _SETTLE_SECONDS
         rates = sorted(
             (self._members.adapter_rate(service, item), item)
             for item in tracked_engine.removable()
-            if item[1] and tracked_engine.adapter_at.get(item, limit) <= limit
+            if item[1]
+            and tracked_engine.adapter_loaded_at.get(item, limit) <= limit
         )
-        if not rates or rates[0][0] > _IN_USE:
+        if not rates or rates[0][0] > _IN_USE_PER_S:
             return None
         return rates[0][1]
 
@@ -284,9 +290,9 @@
     pool: manifest.Pool,
     spec: manifest.Model,
 ) -> bool:
-    """Whether an engine has a place and memory for an adapter of a model."""
+    """Whether an engine has a free slot and memory for a model's adapter."""
     total, _ = planner_inputs.sum_charges(tracked_engine, pool)
-    has_place = (
+    has_slot = (
         planner_inputs.count_adapters(tracked_engine) < pool.adapter_slots
     )
-    return has_place and total + spec.adapter_mb <= pool.weights_mb
+    return has_slot and total + spec.adapter_mb <= pool.weights_mb
--- a/src/wayslip/gateway/detached_operation.py
+++ b/src/wayslip/gateway/detached_operation.py
@@ -1,4 +1,4 @@
-"""The holder goes on without the store; see `decisions.detachment`."""
+"""Detached operation of the lease holder; see `decisions.detachment`."""
 
 import logging
 
@@ -13,54 +13,54 @@
 
 
 class DetachedOperation:
-    """Whether this instance may order engines while the store is away."""
+    """Decides whether this instance may order engines without the store."""
 
     def __init__(
         self,
-        own: str,
+        own_address: str,
         leadership: leadership_module.Leadership,
         members: members_module.Members,
     ) -> None:
         """Initializes the state.
 
         Args:
-            own: Where this instance hears its peers, "IP:PORT".
-            leadership: Its part in the lease.
-            members: What it hears from the others while it holds the lease.
+            own_address: This instance's address for peers, "IP:PORT".
+            leadership: The lease.
+            members: What the other instances report while it holds the lease.
         """
-        self._own = own
+        self._own_address = own_address
         self._leadership = leadership
         self._members = members
         self._state = detachment.NONE
 
     @property
     def is_proposed(self) -> bool:
-        """Whether the others are told that we go on without the store."""
+        """Whether detached operation is announced to the other instances."""
         return self._judge().proposed_at is not None
 
     @property
     def is_granted(self) -> bool:
-        """Whether we may order engines without a write to the store."""
+        """Whether engines may be ordered without a write to the store."""
         return self._judge().is_granted
 
     def list_missing(self) -> list[fanout.Peer]:
-        """Returns instances to look for, because they must agree."""
+        """Returns unresponsive instances that must agree first."""
         if not self._leadership.is_renewal_overdue:
             return []
         missing = self._members.list_missing()
-        return [p for p in missing if p.address != self._own]
+        return [p for p in missing if p.address != self._own_address]
 
     def _judge(self) -> detachment.Detachment:
-        """Looks again; what was granted a moment ago may be over."""
+        """Updates and returns the state; an earlier grant may have ended."""
         before = self._state
         if self._leadership.is_valid:
             self._members.forget_missing()
         if self._leadership.is_held and self._leadership.is_renewal_overdue:
             term = self._leadership.seen_term
             self._state = before.judge(
-                self._members.list_words(term, self._own),
+                self._members.list_words(term, self._own_address),
                 bool(self.list_missing()),
-                # At the resolution in which words in answer are told.
+                # At the resolution of the stamps in reports.
                 detachment.read_stamp(detachment.make_stamp(clock.now())),
             )
         else:
@@ -71,16 +71,16 @@
 
     def _log_change(self) -> None:
         term = self._leadership.seen_term
-        words = self._members.list_words(term, self._own)
-        oldest = min((w.echoed_at for w in words), default=clock.now())
+        statuses = self._members.list_words(term, self._own_address)
+        oldest = min((w.echoed_at for w in statuses), default=clock.now())
         logs.event(
             _LOG,
             "detachment_changed",
             granted=self._state.is_granted,
             held=self._leadership.is_held,
             doubtful=self._leadership.is_renewal_overdue,
-            instances=len(words),
+            instances=len(statuses),
             oldest=f"{clock.now() - oldest:.2f}",
-            cut_off=sum(w.cut_off for w in words),
+            cut_off=sum(w.cut_off for w in statuses),
             missing=",".join(p.address for p in self.list_missing()),
         )
--- a/src/wayslip/gateway/quarantine.py
+++ b/src/wayslip/gateway/quarantine.py
@@ -1,10 +1,11 @@
-"""Keeps requests that end endpoints away from them, at all instances.
-
-An instance whose attempt breaks off looks whether the endpoint has ended: then
-nobody listens at its address. If so, all instances hear what was on its way
-there; `decisions.suspicion` judges. The lease's holder tells what is known
-again and again, for those that start or were cut off, and keeps what is
-condemned in the store, for when all instances end together.
+"""Quarantine of poison requests, which crash the endpoints that run them.
+
+An instance whose attempt broke off checks whether the endpoint has crashed: no
+process listens at its address then. If so, it announces the contents that were
+in progress there to all instances; `decisions.suspicion` decides which are
+blocked. The lease holder repeats what is known periodically, for instances that
+start or were disconnected, and stores the blocked contents, so that they
+survive a crash of all instances.
 """
 
 import asyncio
@@ -32,32 +33,34 @@
 from wayslip.http1 import client
 
 _LOG = logging.getLogger(__name__)
-# What was seen is told at once and again after these, seconds: a datagram that
-# is lost costs an endpoint more.
-_REPEATS = (0.0, 0.2, 0.8, 1.5)
-# Between statements of the holder, seconds: an instance that starts or comes
-# back from a cut is to have it within three.
-_TELL_SECONDS = 1.0
-# What came up only once is told again by the holder for so long, seconds: those
-# that did not hear it are to know of it when it comes again.
-_OPEN_SECONDS = 15.0
-# Between the holder's looks at what it has to keep in the store, seconds.
+# Pauses before each announcement of a change. It is repeated because a lost
+# datagram may cost another endpoint.
+_ANNOUNCE_PAUSES_SECONDS = (0.0, 0.2, 0.8, 1.5)
+# Interval between the lease holder's announcements. An instance that starts or
+# was disconnected is to be informed within 3 s.
+_REANNOUNCE_PERIOD_SECONDS = 1.0
+# How long the lease holder repeats a content with a single crash, so that
+# instances that missed it know of it when it is requested again.
+_REANNOUNCE_WINDOW_SECONDS = 15.0
+# Interval at which the lease holder updates the stored contents.
 _STEP_SECONDS = 0.25
-# Contents that endpoints answered lately, so that a common one on its way to an
-# endpoint that ends is no worse than others; each takes 100 bytes.
-_ANSWERED_MOST = 2000
-# Instances that have all seen a content answered speak at different times, so
-# that one of them does, seconds.
-_EXCUSE_SECONDS = 0.05
-# Between trials of a condemned content, seconds: longer than requests take.
-_TRIAL_PAUSE = 20.0
-# Marks of one datagram, some 60 bytes each.
-_PART = 300
+# Maximum number of recently answered contents, at 100 bytes each. They are
+# remembered so that a common content in progress at a crash counts no more than
+# others.
+_MAX_ANSWERED = 2000
+# Maximum random delay before an exemption is announced, so that one of the
+# instances that saw the content answered announces it instead of all.
+_EXEMPT_JITTER_SECONDS = 0.05
+# Interval between probe requests of a blocked content; longer than requests
+# take.
+_PROBE_PERIOD_SECONDS = 20.0
+# Crash records are some 60 bytes each.
+_MAX_RECORDS_PER_DATAGRAM = 300
 
 
 @dataclasses.dataclass
-class _Breaks:
-    """Attempts that broke off at one start of an endpoint."""
+class _BrokenAttempts:
+    """Attempts that broke off at one incarnation of an endpoint."""
 
     at: float
     crash_records: dict[bytes, suspicion.CrashRecord] = dataclasses.field(
@@ -65,11 +68,11 @@
     )
 
 
-Open = Callable[[tuple[str, int]], Awaitable[client.Connection]]
+OpenConnection = Callable[[tuple[str, int]], Awaitable[client.Connection]]
 
 
 class Quarantine:
-    """What this instance knows of such requests. On the event loop only."""
+    """What this instance knows of poison requests. Event loop only."""
 
     def __init__(
         self,
@@ -83,31 +86,32 @@
         """Initializes without any knowledge.
 
         Args:
-            store: Where what is condemned is kept.
-            leadership: Of the lease.
-            peer_broadcast: The other instances.
-            metrics: Where ends and contents are counted.
+            store: Where blocked contents are stored.
+            leadership: The lease.
+            peer_broadcast: Sends to the other instances.
+            metrics: Where crashes and contents are counted.
             reporter: The name of this instance.
             find_pause: Returns the seconds to wait before an attempt that
-                others make too; given what one instance alone would wait.
+                other instances make too; given what a single instance would
+                wait.
         """
-        self._witness = reporter
+        self._reporter = reporter
         self._leadership = leadership
         self._peer_broadcast = peer_broadcast
         self._metrics = metrics
         self._suspicion = suspicion.Suspicion()
-        # When condemned contents were last tried here; bounded by those.
-        self._tried: dict[bytes, float] = {}
+        # When blocked contents were last probed here; holds those only.
+        self._probed_at: dict[bytes, float] = {}
         self._answered: collections.OrderedDict[bytes, None] = (
             collections.OrderedDict()
         )
-        self._breaks: dict[fleet.Start, _Breaks] = {}
+        self._broken_attempts: dict[fleet.Start, _BrokenAttempts] = {}
         self._background_tasks = background.BackgroundTasks("quarantine_failed")
-        self._kept = blocked_contents_module.BlockedContents(
-            store, find_pause, self._learn
+        self._blocked_contents = blocked_contents_module.BlockedContents(
+            store, find_pause, self._add_records
         )
-        self._condemned: frozenset[bytes] = frozenset()
-        self._told_at = 0.0
+        self._blocked: frozenset[bytes] = frozenset()
+        self._announced_at = 0.0
 
     # For requests
 
@@ -116,57 +120,60 @@
         return bool(self._suspicion)
 
     def find_depth(self, content: bytes) -> int:
-        """Returns how deep a content is in suspicion."""
+        """Returns the depth of suspicion of a content."""
         return self._suspicion.find_depth(content)
 
     def is_blocked(self, content: bytes) -> bool:
-        """Whether a content should reach no endpoint."""
+        """Whether a content must not be sent to any endpoint."""
         return self._suspicion.is_blocked(content)
 
-    def begin_trial(self, content: bytes) -> bool:
-        """Returns whether a condemned content is to be sent once more now.
+    def begin_probe(self, content: bytes) -> bool:
+        """Returns whether a blocked content is to be sent as a probe now.
 
-        Only the lease's holder tries, so that one endpoint at most ends.
+        Only the lease holder probes, so that at most one endpoint crashes.
         """
         now = clock.now()
         if not self._leadership.is_held:
             return False
         if not self._suspicion.may_probe(content, now):
             return False
-        if now - self._tried.get(content, float("-inf")) < _TRIAL_PAUSE:
+        if (
+            now - self._probed_at.get(content, float("-inf"))
+            < _PROBE_PERIOD_SECONDS
+        ):
             return False
-        self._tried[content] = now
+        self._probed_at[content] = now
         logs.event(_LOG, "content_tried", content=content.hex())
         return True
 
     def find_left(self, content: bytes) -> float:
-        """Returns the seconds for which a condemned content stays so."""
+        """Returns the seconds for which a blocked content stays blocked."""
         return self._suspicion.find_left(content, clock.now())
 
     def note_answer(self, content: bytes) -> None:
-        """Notes that an endpoint answered a content: it ends none."""
+        """Records that an endpoint answered a content, which clears it."""
         self._answered[content] = None
         self._answered.move_to_end(content)
-        if len(self._answered) > _ANSWERED_MOST:
+        if len(self._answered) > _MAX_ANSWERED:
             self._answered.popitem(last=False)
         if self._suspicion:
             self.lift(content, "answered")
 
     def lift(self, content: bytes, reason: str) -> bool:
-        """Clears a content; returns whether it was under suspicion."""
+        """Clears a content; returns whether it was suspect."""
         crash_records = self._suspicion.list_crash_records(content)
-        news = self._suspicion.clear(crash_records, clock.now())
-        if not news:
+        changed = self._suspicion.clear(crash_records, clock.now())
+        if not changed:
             return False
         logs.event(
             _LOG,
             "content_cleared",
             content=content.hex(),
             reason=reason,
-            ends=len(news),
+            ends=len(changed),
         )
-        self._note_condemned()
-        self._tell(facts.Suspects(cleared=tuple(news)))
+        self._update_blocked()
+        self._announce(facts.Suspects(cleared=tuple(changed)))
         return True
 
     def note_broken_attempt(
@@ -174,56 +181,56 @@
         endpoint: fleet.Endpoint,
         content: bytes,
         depth: int,
-        open_connection: Open,
+        open_connection: OpenConnection,
     ) -> None:
-        """Notes that an attempt broke off at an endpoint.
+        """Records that an attempt broke off at an endpoint.
 
         Args:
             endpoint: Where it was sent.
-            content: What was asked for.
-            depth: How deep that was in suspicion when it was sent.
-            open_connection: Makes a connection to an address; raises
+            content: The digest of the request's content.
+            depth: The content's depth of suspicion when it was sent.
+            open_connection: Opens a connection to an address; raises
                 NobodyListensError if the endpoint's process is gone.
         """
         if endpoint.is_leaving:
-            # It ends as planned, whatever is on its way there.
+            # Its process ends as planned, whatever requests are in progress.
             return
         start = endpoint.start
-        breaks = self._breaks.get(start)
-        if breaks is None:
-            breaks = _Breaks(clock.now())
-            self._breaks[start] = breaks
+        broken = self._broken_attempts.get(start)
+        if broken is None:
+            broken = _BrokenAttempts(clock.now())
+            self._broken_attempts[start] = broken
             self._background_tasks.start(
-                self._look(start, endpoint, open_connection)
+                self._probe_endpoint(start, endpoint, open_connection)
             )
-        known = breaks.crash_records.get(content)
+        known = broken.crash_records.get(content)
         attempts = 0 if content in self._answered else 1
-        breaks.crash_records[content] = suspicion.CrashRecord(
+        broken.crash_records[content] = suspicion.CrashRecord(
             content,
             start.endpoint,
             start.born,
             depth if known is None else max(depth, known.depth),
-            self._witness,
+            self._reporter,
             attempts if known is None else attempts + known.attempts,
         )
 
-    async def _look(
+    async def _probe_endpoint(
         self,
         start: fleet.Start,
         endpoint: fleet.Endpoint,
-        open_connection: Open,
+        open_connection: OpenConnection,
     ) -> None:
-        """Finds out whether an endpoint has ended, or broke off only."""
-        # What breaks off in the same moment is to be there first.
+        """Determines whether an endpoint crashed or only reset connections."""
+        # Lets attempts that broke off at the same time be recorded first.
         await asyncio.sleep(0)
         try:
             address = addresses.split_address(endpoint.address)
             connection = await open_connection(address)
             connection.close()
         except errors.NobodyListensError:
-            self._confirm(start)
+            self._record_crash(start)
         except errors.NotSentError as e:
-            # It may be cut off, which says nothing of the requests.
+            # It may be unreachable, which shows nothing about the requests.
             logs.event(
                 _LOG,
                 "endpoint_not_looked_at",
@@ -231,31 +238,31 @@
                 reason=e.reason,
             )
         finally:
-            self._breaks.pop(start, None)
+            self._broken_attempts.pop(start, None)
 
-    def _confirm(self, start: fleet.Start) -> None:
-        """Takes in that an endpoint ended, and tells everybody."""
-        breaks = self._breaks[start]
-        crash_records = list(breaks.crash_records.values())
+    def _record_crash(self, start: fleet.Start) -> None:
+        """Records that an endpoint crashed and announces it."""
+        broken = self._broken_attempts[start]
+        crash_records = list(broken.crash_records.values())
         logs.event(
             _LOG,
             "endpoint_ended",
             logging.WARNING,
             endpoint=start.endpoint,
             born=start.born,
-            seconds=f"{clock.now() - breaks.at:.3f}",
+            seconds=f"{clock.now() - broken.at:.3f}",
             contents=",".join(m.content.hex()[:8] for m in crash_records),
         )
         self._metrics.count("endpoint_ends")
-        news = self._suspicion.add(crash_records, clock.now())
-        self._note_condemned()
-        if news:
-            self._tell(facts.Suspects(tuple(news)))
-
-    def _note_condemned(self) -> None:
-        """Logs what came to be condemned, or is so no longer."""
-        condemned = frozenset(self._suspicion.list_blocked())
-        for content in condemned - self._condemned:
+        changed = self._suspicion.add(crash_records, clock.now())
+        self._update_blocked()
+        if changed:
+            self._announce(facts.Suspects(tuple(changed)))
+
+    def _update_blocked(self) -> None:
+        """Updates the blocked contents and logs the changes."""
+        blocked = frozenset(self._suspicion.list_blocked())
+        for content in blocked - self._blocked:
             crash_records = self._suspicion.list_crash_records(content)
             logs.event(
                 _LOG,
@@ -269,84 +276,98 @@
             self._metrics.count("contents", outcome="condemned")
             if content in self._answered:
                 self._background_tasks.start(self._exempt(content))
-        for content in self._condemned - condemned:
+        for content in self._blocked - blocked:
             logs.event(_LOG, "content_released", content=content.hex())
             self._metrics.count("contents", outcome="released")
-        self._condemned = condemned
-        self._tried = {c: t for c, t in self._tried.items() if c in condemned}
+        self._blocked = blocked
+        self._probed_at = {
+            c: t for c, t in self._probed_at.items() if c in blocked
+        }
 
     async def _exempt(self, content: bytes) -> None:
-        """Tells that a content was answered here, unless others do."""
-        await asyncio.sleep(random.uniform(0, _EXCUSE_SECONDS))
-        news = self._suspicion.exempt((content,), clock.now())
-        if news:
+        """Announces that a content was answered here, unless others did."""
+        await asyncio.sleep(random.uniform(0, _EXEMPT_JITTER_SECONDS))
+        changed = self._suspicion.exempt((content,), clock.now())
+        if changed:
             logs.event(_LOG, "content_is_common", content=content.hex())
-            self._note_condemned()
-            self._tell(facts.Suspects(common=tuple(news)))
+            self._update_blocked()
+            self._announce(facts.Suspects(common=tuple(changed)))
 
     # Between instances
 
-    def take(self, told: facts.Suspects) -> None:
-        """Takes in what another instance tells."""
+    def apply(self, message: facts.Suspects) -> None:
+        """Applies an announcement of another instance."""
         now = clock.now()
-        self._suspicion.clear(told.cleared, now)
-        self._suspicion.exempt(told.common, now)
-        if self._suspicion.add(told.crash_records, now):
-            # As the lease's holder, for those whom the sender does not know.
-            self._told_at = 0.0
-        self._note_condemned()
-
-    def _tell(self, told: facts.Suspects) -> None:
-        self._background_tasks.start(self._repeat(told))
-
-    async def _repeat(self, told: facts.Suspects) -> None:
-        for pause in _REPEATS:
+        self._suspicion.clear(message.cleared, now)
+        self._suspicion.exempt(message.common, now)
+        if self._suspicion.add(message.crash_records, now):
+            # Has the lease holder repeat it at once, for instances that the
+            # sender does not know.
+            self._announced_at = 0.0
+        self._update_blocked()
+
+    def _announce(self, message: facts.Suspects) -> None:
+        self._background_tasks.start(self._announce_repeatedly(message))
+
+    async def _announce_repeatedly(self, message: facts.Suspects) -> None:
+        for pause in _ANNOUNCE_PAUSES_SECONDS:
             await asyncio.sleep(pause)
-            self._spread(told)
-
-    def _spread(self, told: facts.Suspects) -> None:
-        most = max(len(told.crash_records), len(told.cleared), len(told.common))
-        for i in range(0, most, _PART):
-            part = facts.Suspects(
-                told.crash_records[i : i + _PART],
-                told.cleared[i : i + _PART],
-                told.common[i : i + _PART],
+            self._broadcast(message)
+
+    def _broadcast(self, message: facts.Suspects) -> None:
+        longest = max(
+            len(message.crash_records),
+            len(message.cleared),
+            len(message.common),
+        )
+        for i in range(0, longest, _MAX_RECORDS_PER_DATAGRAM):
+            chunk = facts.Suspects(
+                message.crash_records[i : i + _MAX_RECORDS_PER_DATAGRAM],
+                message.cleared[i : i + _MAX_RECORDS_PER_DATAGRAM],
+                message.common[i : i + _MAX_RECORDS_PER_DATAGRAM],
             )
-            self._peer_broadcast.spread(part)
+            self._peer_broadcast.spread(chunk)
 
-    def _tell_again(self) -> None:
-        """Tells what others may have missed."""
+    def _reannounce(self) -> None:
+        """Repeats what other instances may have missed."""
         now = clock.now()
-        if now - self._told_at < _TELL_SECONDS:
+        if now - self._announced_at < _REANNOUNCE_PERIOD_SECONDS:
             return
-        self._told_at = now
-        contents = self._suspicion.list_to_share(now - _OPEN_SECONDS)
+        self._announced_at = now
+        contents = self._suspicion.list_to_share(
+            now - _REANNOUNCE_WINDOW_SECONDS
+        )
         crash_records = [
             m for c in contents for m in self._suspicion.list_crash_records(c)
         ]
-        cleared = self._suspicion.list_cleared()[-_PART:]
+        cleared = self._suspicion.list_cleared()[-_MAX_RECORDS_PER_DATAGRAM:]
         if crash_records or cleared:
-            self._spread(facts.Suspects(tuple(crash_records), tuple(cleared)))
+            self._broadcast(
+                facts.Suspects(tuple(crash_records), tuple(cleared))
+            )
 
-    # The lease's holder
+    # The lease holder
 
     def begin_term(self) -> None:
-        """Has the store read, because what it holds may not be known here."""
-        self._kept.begin_term()
-        self._told_at = 0.0
+        """Has the stored contents read again, as some may be unknown here."""
+        self._blocked_contents.begin_term()
+        self._announced_at = 0.0
 
     async def run(self) -> None:
-        """Forgets, and as the lease's holder tells and keeps, for ever."""
-        self._background_tasks.start(self._kept.read_at_start())
+        """Drops old records, and as lease holder announces and stores them.
+
+        Runs until cancelled.
+        """
+        self._background_tasks.start(self._blocked_contents.read_at_start())
         while True:
             await asyncio.sleep(_STEP_SECONDS)
             if self._suspicion.forget(clock.now()):
-                self._note_condemned()
+                self._update_blocked()
             if not self._leadership.is_held:
                 continue
-            self._tell_again()
+            self._reannounce()
             try:
-                await self._keep()
+                await self._sync_store()
             except errors.ObjectError as e:
                 logs.event(
                     _LOG,
@@ -355,33 +376,35 @@
                     reason=e.reason,
                 )
 
-    async def _keep(self) -> None:
-        """Keeps in the store what is condemned; reads it first in a term."""
-        if await self._kept.read():
-            # Whoever started with us is to hear of it at once.
-            self._told_at = 0.0
-            self._tell_again()
-        await self._kept.keep(
-            self._condemned, self._suspicion.list_crash_records
+    async def _sync_store(self) -> None:
+        """Stores the blocked contents; reads those stored first in a term."""
+        if await self._blocked_contents.read():
+            # Instances that started at the same time are informed at once.
+            self._announced_at = 0.0
+            self._reannounce()
+        await self._blocked_contents.sync(
+            self._blocked, self._suspicion.list_crash_records
         )
 
-    def _learn(self, crash_records: Iterable[suspicion.CrashRecord]) -> None:
+    def _add_records(
+        self, crash_records: Iterable[suspicion.CrashRecord]
+    ) -> None:
         self._suspicion.add(crash_records, clock.now())
-        self._note_condemned()
+        self._update_blocked()
 
     def close(self) -> None:
-        """Ends what is still to be told or looked at."""
+        """Cancels pending announcements and checks."""
         self._background_tasks.cancel()
 
     def dump(self) -> list[dict[str, object]]:
-        """Returns the contents that are under suspicion, condemned first."""
+        """Returns suspect contents for the state dump, blocked ones first."""
         found: list[dict[str, object]] = []
         for content in self._suspicion.list_contents(1):
             crash_records = self._suspicion.list_crash_records(content)
             found.append(
                 {
                     "content": content.hex(),
-                    "is_condemned": content in self._condemned,
+                    "is_condemned": content in self._blocked,
                     "depth": self._suspicion.find_depth(content),
                     "ends": sorted({m.endpoint for m in crash_records}),
                     "attempts": sum(m.attempts for m in crash_records),
--- a/src/wayslip/gateway/quota_accounts.py
+++ b/src/wayslip/gateway/quota_accounts.py
@@ -1,7 +1,7 @@
-"""The lease's holder's accounts of what organisations have sent.
+"""The lease holder's accounts of what organisations have used.
 
-Instances tell sums that only rise, so that a lost report is made up for by the
-next. See `decisions.quota`.
+Instances report cumulative sums, so that the next report compensates for a lost
+one. See `decisions.quota`.
 """
 
 from collections.abc import Iterable
@@ -15,22 +15,24 @@
 from wayslip.gateway import facts
 from wayslip.gateway import limits
 
-# Organisations told of with one state, those with the least left first; each
-# takes some 20 bytes of it.
-_WORDS_MOST = 200
-# An instance that was silent for this long is charged what it last sent on, as
-# it may be cut off and go on, seconds.
-_SILENT_SECONDS = 0.6
-# After this it has stopped, or comes back with its sums, seconds.
-_GONE_SECONDS = 5.0
+# Maximum number of organisations announced in one state, those with the least
+# available units first. Each takes some 20 bytes.
+_MAX_LEVELS = 200
+# An instance not heard from for this long is charged at its last rate, because
+# it may be disconnected and still forward requests.
+_UNRESPONSIVE_SECONDS = 0.6
+# After this time it is removed: it has stopped, or returns with its sums.
+_REMOVAL_SECONDS = 5.0
 
 
 @dataclasses.dataclass
 class _Account:
-    """What one process of an instance told, for one organisation.
+    """Sums that one process of an instance reported for one organisation.
 
     Attributes:
-        assumed: Charged for the time in which it is silent.
+        asked: Units of all requests.
+        used: Units of the requests that were forwarded.
+        assumed: Units charged for the time since its last report.
     """
 
     asked: float
@@ -40,17 +42,17 @@
 
 @dataclasses.dataclass
 class _Member:
-    """An instance that reports; its accounts by organisation."""
+    """A reporting instance, with its accounts by organisation."""
 
     process: str
     number: int
-    heard: float
+    received_at: float
     accounts: dict[str, _Account]
     rates: demand_module.Rates[str]
 
 
 class QuotaAccounts:
-    """The lease's holder's accounts of all organisations."""
+    """The lease holder's accounts of all organisations."""
 
     def __init__(
         self,
@@ -70,20 +72,20 @@
         self._began_at = 0.0
 
     def begin(self) -> None:
-        """Begins a term with what the holder before told last."""
+        """Starts a term with the levels that the previous holder announced."""
         now = clock.now()
         self._settled_at = now
         self._began_at = now
         self._members.clear()
         self._levels = {
-            name: quota_module.Level(word.level, now)
-            for name, word in self._limiter.words.items()
+            name: quota_module.Level(quota_level.level, now)
+            for name, quota_level in self._limiter.words.items()
         }
-        for name, word in self._limiter.words.items():
-            self._demand.set(name, word.demand, now)
+        for name, quota_level in self._limiter.words.items():
+            self._demand.set(name, quota_level.demand, now)
 
-    def take(self, report: facts.Report) -> None:
-        """Takes in an instance's sums."""
+    def record_report(self, report: facts.Report) -> None:
+        """Records an instance's sums, unless its report is outdated."""
         now = clock.now()
         member = self._members.get(report.instance)
         if member is None or member.process != report.process:
@@ -92,13 +94,13 @@
             self._members[report.instance] = member
         if report.number <= member.number:
             return
-        member.number, member.heard = report.number, now
-        told = {s.organisation: s for s in report.spendings}
+        member.number, member.received_at = report.number, now
+        reported = {s.organisation: s for s in report.spendings}
         for name, account in member.accounts.items():
-            if name not in told and account.assumed:
+            if name not in reported and account.assumed:
                 self._spend(name, -account.assumed, now)
                 account.assumed = 0.0
-        for name, spending in told.items():
+        for name, spending in reported.items():
             self._charge(member, name, spending, now)
 
     def _charge(
@@ -106,7 +108,8 @@
     ) -> None:
         account = member.accounts.get(name)
         if account is None:
-            # Before this the process told the holder before us, or nobody.
+            # The earlier part of the sums was reported to a previous holder,
+            # or to none.
             account = _Account(spending.asked, spending.known)
             member.accounts[name] = account
         asked = spending.asked - account.asked
@@ -121,14 +124,14 @@
     def _spend(self, name: str, units: float, now: float) -> None:
         level = self._levels.get(name)
         if level is None:
-            level = quota_module.Level(self._find_start(name, now), now)
+            level = quota_module.Level(self._find_initial_units(name, now), now)
         self._levels[name] = level.spend(units)
 
-    def _find_start(self, name: str, now: float) -> float:
-        """Returns the level of an organisation that nobody told of.
+    def _find_initial_units(self, name: str, now: float) -> float:
+        """Returns the initial units of an organisation that was not announced.
 
-        While others are told of, it has its whole burst. Where nothing is
-        known, what was sent on before our term is not known either.
+        It has its whole burst if others were announced. If none was, the use
+        before this term is unknown too, and the units accrue from its start.
         """
         quota = self._quotas().get(name)
         if quota is None:
@@ -146,10 +149,10 @@
             if o.quota.is_limited
         }
 
-    def list_words(self) -> tuple[facts.Level, ...]:
-        """Returns what is told of the levels now."""
+    def list_levels(self) -> tuple[facts.Level, ...]:
+        """Returns the organisations' levels to announce."""
         now = clock.now()
-        self._charge_silent(now)
+        self._charge_unresponsive(now)
         quotas = self._quotas()
         self._levels = {n: v for n, v in self._levels.items() if n in quotas}
         found = []
@@ -166,12 +169,12 @@
                 )
             )
         found.sort(key=lambda pair: pair[0])
-        return tuple(level for _, level in found[:_WORDS_MOST])
+        return tuple(level for _, level in found[:_MAX_LEVELS])
 
-    def is_news(self, told: Iterable[facts.Level]) -> bool:
-        """Whether an organisation has come to its limit since that was told."""
+    def should_announce(self, announced: Iterable[facts.Level]) -> bool:
+        """Whether an organisation reached its limit since the announcement."""
         now = clock.now()
-        before = {level.organisation: level.level for level in told}
+        before = {level.organisation: level.level for level in announced}
         for name, quota in self._quotas().items():
             level = self._levels.get(name)
             if level is None:
@@ -184,19 +187,21 @@
                 return True
         return False
 
-    def _charge_silent(self, now: float) -> None:
-        """Charges instances that are not heard what they may send on."""
+    def _charge_unresponsive(self, now: float) -> None:
+        """Charges instances not heard from for what they may forward."""
         elapsed = now - self._settled_at
         self._settled_at = now
         for instance, member in list(self._members.items()):
-            silence = now - member.heard
-            if silence > _GONE_SECONDS:
+            silence = now - member.received_at
+            if silence > _REMOVAL_SECONDS:
                 del self._members[instance]
-            elif silence > _SILENT_SECONDS:
-                self._assume(member, elapsed, now)
+            elif silence > _UNRESPONSIVE_SECONDS:
+                self._charge_assumed(member, elapsed, now)
 
-    def _assume(self, member: _Member, seconds: float, now: float) -> None:
+    def _charge_assumed(
+        self, member: _Member, seconds: float, now: float
+    ) -> None:
         for name, account in member.accounts.items():
-            units = member.rates.get(name, member.heard) * seconds
+            units = member.rates.get(name, member.received_at) * seconds
             account.assumed += units
             self._spend(name, units, now)
--- a/src/wayslip/gateway/tracked_engines.py
+++ b/src/wayslip/gateway/tracked_engines.py
@@ -1,4 +1,4 @@
-"""What the planner knows of each engine: its orders, and what it may hold."""
+"""State that the planner keeps of each engine: orders and possible contents."""
 
 import asyncio
 import dataclasses
@@ -9,49 +9,51 @@
 from wayslip.decisions import lease
 
 Item = fleet.Item
-# Reports are some hundred milliseconds old. One that still tells of fewer
-# orders after this shows that we counted one too many, seconds.
-_REPORT_LAG_MOST = 2.0
-# An order without an answer may be carried out so much later, seconds: engines
-# take up to 12, and a report is some hundred milliseconds old.
-_LATE_MOST = 14.0
+# Reports are some hundred milliseconds old. One that still shows fewer orders
+# after this time means that an order was counted here by mistake.
+_MAX_REPORT_LAG_SECONDS = 2.0
+# An order without an answer may be carried out this much later: engines take
+# up to 12 s, and a report is some hundred milliseconds old.
+_MAX_ORDER_DELAY_SECONDS = 14.0
 
 
 @dataclasses.dataclass
 class TrackedEngine:
-    """What the lease's holder knows of one engine.
+    """What the lease holder knows of one engine.
 
-    Room is worked out from the inventory alone. Entries of the list may be
-    old, and a new one may be followed by an older one; they stand in only
-    while no inventory is known, for plans that a report will precede.
+    Charges are computed from the inventory alone while it is certain. Entries
+    of the list may be outdated, and a new one may be followed by an older one.
+    They are added only while the inventory is uncertain, and a report is
+    fetched then before an order is sent.
 
     Attributes:
         endpoint: The engine's entry in the list.
-        inventory: What it holds at a count of its orders, as last known.
-        is_certain: Whether that count holds now as far as we can know; an
-            order may only be given then.
-        least_orders: Orders that it has taken at least; a report that tells
-            of fewer is an old one, for a while after `counted_at`.
-        counted_at: When it took an order of ours last, steady seconds.
-        reported_at: When its last report came, steady seconds.
-        listed_at: When its entry in the list came, steady seconds.
+        inventory: What it held at its last known count of orders.
+        is_certain: Whether that count is current as far as is known; orders
+            are sent only then.
+        least_orders: Minimum number of orders that it has taken. A report with
+            fewer is outdated, for a while after `counted_at`.
+        counted_at: When it last took an order of this instance, steady
+            seconds.
+        reported_at: When its last report was received, steady seconds.
+        listed_at: When its entry in the list was received, steady seconds.
         added: Items ordered to load that no report has shown in place, and
             when they can serve.
-        withdrawn: Items that no request is to be sent for any more, until
-            neither the list nor a report shows them.
-        ready_at: When models that are loading are expected to serve.
+        withdrawn: Items that receive no further requests, until neither the
+            list nor a report shows them.
+        ready_at: When loading models are expected to serve.
         loaded_at: When models finished loading.
-        had: Adapters that it has held before.
-        adapter_at: When adapters were loaded for a request.
-        rests_until: When it may be planned for again after a failure.
+        previously_held: Adapters that it has held before.
+        adapter_loaded_at: When adapters were loaded for a request.
+        backoff_until: When it may be planned for again after a failure.
         pending: The order whose effect is not known yet.
-        abandoned: An order that was given up on. It may still arrive, and is
-            charged until the engine's count has passed it.
-        unanswered: Orders whose answer did not come, and when they were sent.
-        inherited: Those of an earlier start of the engine, and until when they
-            may be carried out by this one: it counts from zero again.
-        task: The series of orders that is under way.
-        lock: Held while an order is given.
+        abandoned: An order that is no longer repeated. It may still arrive,
+            and is charged until the engine's count has passed it.
+        unanswered: Orders without an answer, and when they were sent.
+        inherited: Unanswered orders of the engine's earlier incarnations, and
+            until when this one may carry them out: it counts from zero again.
+        task: The running task of orders.
+        lock: Held while an order is in progress.
         changed: Set by every new entry.
     """
 
@@ -66,9 +68,11 @@
     withdrawn: set[Item] = dataclasses.field(default_factory=set)
     ready_at: dict[str, float] = dataclasses.field(default_factory=dict)
     loaded_at: dict[str, float] = dataclasses.field(default_factory=dict)
-    had: set[Item] = dataclasses.field(default_factory=set)
-    adapter_at: dict[Item, float] = dataclasses.field(default_factory=dict)
-    rests_until: float = 0.0
+    previously_held: set[Item] = dataclasses.field(default_factory=set)
+    adapter_loaded_at: dict[Item, float] = dataclasses.field(
+        default_factory=dict
+    )
+    backoff_until: float = 0.0
     pending: lease.Pending | None = None
     abandoned: lease.Pending | None = None
     unanswered: list[tuple[lease.Pending, float]] = dataclasses.field(
@@ -79,10 +83,10 @@
     lock: asyncio.Lock = dataclasses.field(default_factory=asyncio.Lock)
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
-    # What it holds
+    # Contents
 
     def charged(self) -> set[Item]:
-        """Returns all items that take memory or may."""
+        """Returns all items that use or may use memory."""
         items = set(self.inventory.items) if self.inventory else set()
         if not self.is_certain:
             items |= self.listed() | set(self.added)
@@ -94,7 +98,7 @@
         }
 
     def usable(self) -> set[Item]:
-        """Returns the items that can serve now; adapters, or in moments."""
+        """Returns the items that can serve; adapters may still be loading."""
         items = set(self.inventory.items) if self.inventory else set()
         if not self.is_certain:
             items |= self.listed()
@@ -102,18 +106,18 @@
         return {i for i in items - self.withdrawn if i[0] not in loading}
 
     def removable(self) -> set[Item]:
-        """Returns the items that an order to unload would find in place."""
+        """Returns the items in place that can be unloaded."""
         if self.inventory is None:
             return set()
         return set(self.inventory.in_place - self.withdrawn)
 
     def holds(self, item: Item) -> bool:
-        """Whether a report has shown an item in place, and nothing since."""
+        """Whether an item is known to be in place and not being unloaded."""
         known = self.inventory
         return self.is_certain and known is not None and item in known.in_place
 
     def lacks(self, item: Item) -> bool:
-        """Whether a report has shown that an item takes no room."""
+        """Whether an item is known to take no memory."""
         known = self.inventory
         return self.is_certain and known is not None and item not in known.items
 
@@ -121,28 +125,28 @@
         """Returns the items in the engine's entry."""
         return fleet.list_items(self.endpoint.models)
 
-    # What tells it
+    # Updates
 
-    def take_entry(self, endpoint: fleet.Endpoint, now: float) -> None:
-        """Takes in the engine's entry in the list."""
+    def apply_entry(self, endpoint: fleet.Endpoint, now: float) -> None:
+        """Applies the engine's entry in the list."""
         self.endpoint = endpoint
         self.listed_at = now
-        self.had |= {i for i in self.listed() if i[1]}
+        self.previously_held |= {i for i in self.listed() if i[1]}
         self._forget_withdrawn()
         self.changed.set()
 
-    def take_state(self, state: fleet.EngineState, now: float) -> bool:
-        """Takes in a report; returns whether it was new enough."""
-        if not self._is_of_this_start(state):
-            # Until the entry of a later start comes, nothing that is planned
-            # is meant for it.
+    def apply_report(self, state: fleet.EngineState, now: float) -> bool:
+        """Applies a report; returns whether it was recent enough."""
+        if not self._is_same_incarnation(state):
+            # A report of a later incarnation makes the contents uncertain until
+            # the engine's new entry is received.
             self.is_certain &= state.born < self.endpoint.born
             return False
-        is_old = now - self.counted_at < _REPORT_LAG_MOST
+        is_old = now - self.counted_at < _MAX_REPORT_LAG_SECONDS
         if state.orders < self.least_orders and is_old:
             return False
         self.least_orders = state.orders
-        self._pass_stray(state.orders)
+        self._clear_abandoned(state.orders)
         self.inherited = tuple(
             (order, until)
             for order, until in self.inherited
@@ -150,55 +154,57 @@
         )
         self.reported_at = now
         known = self.inventory if self.is_certain else None
-        read = inventory_module.update(known, state)
-        self.is_certain = read is not None
-        if read is None or read is known:
+        latest = inventory_module.update(known, state)
+        self.is_certain = latest is not None
+        if latest is None or latest is known:
             return True
-        self.inventory = read
-        self.added = {i: t for i, t in self.added.items() if i in read.arriving}
-        self.withdrawn -= read.in_place
+        self.inventory = latest
+        self.added = {
+            i: t for i, t in self.added.items() if i in latest.arriving
+        }
+        self.withdrawn -= latest.in_place
         self._forget_withdrawn()
         return True
 
-    def _is_of_this_start(self, state: fleet.EngineState) -> bool:
+    def _is_same_incarnation(self, state: fleet.EngineState) -> bool:
         born = self.endpoint.born
         return not born or not state.born or born == state.born
 
     def _forget_withdrawn(self) -> None:
-        """Forgets what is seen by nobody any more."""
+        """Drops withdrawn items that neither a report nor the list shows."""
         if self.is_certain and self.inventory is not None:
             self.withdrawn &= self.inventory.items | self.listed()
 
-    # A later start of the engine
+    # A later incarnation of the engine
 
     def note_unanswered(self, order: lease.Pending, now: float) -> None:
-        """Notes that an order got no answer and may be carried out late."""
-        limit = now - _LATE_MOST
+        """Records that an order got no answer and may be carried out late."""
+        limit = now - _MAX_ORDER_DELAY_SECONDS
         self.unanswered = [(o, at) for o, at in self.unanswered if at > limit]
         self.unanswered.append((order, now))
 
-    def begin_anew(
+    def begin_incarnation(
         self, endpoint: fleet.Endpoint, now: float
     ) -> "TrackedEngine":
-        """Returns the book of the engine's next start.
+        """Returns the state of the engine's next incarnation.
 
-        It holds nothing and counts from zero, so an order for the start before
-        that comes late names a count that is reached once more.
+        It holds nothing and counts its orders from zero. A late order for the
+        previous incarnation may therefore name a count that is reached again.
         """
-        late = [(o, at + _LATE_MOST) for o, at in self.unanswered]
+        late = [(o, at + _MAX_ORDER_DELAY_SECONDS) for o, at in self.unanswered]
         if self.pending is not None:
-            late.append((self.pending, now + _LATE_MOST))
+            late.append((self.pending, now + _MAX_ORDER_DELAY_SECONDS))
         if self.abandoned is not None:
-            late.append((self.abandoned, now + _LATE_MOST))
+            late.append((self.abandoned, now + _MAX_ORDER_DELAY_SECONDS))
         late += self.inherited
         tracked_engine = TrackedEngine(endpoint, inherited=tuple(late))
-        tracked_engine.take_entry(endpoint, now)
+        tracked_engine.apply_entry(endpoint, now)
         return tracked_engine
 
-    # What follows on an order
+    # Effects of orders
 
     def note_taken(self, order: lease.Pending, now: float) -> None:
-        """Notes that the engine carries an order out."""
+        """Records that the engine carries out an order."""
         item = (order.model, order.adapter)
         is_load = order.action is lease.Action.LOAD
         known = self._find_inventory(order)
@@ -213,12 +219,12 @@
         elif not is_load:
             self._withdraw(item)
 
-    def note_dropped(self, order: lease.Pending, now: float) -> None:
-        """Notes that an adapter is unloaded by the time that was answered.
+    def note_unloaded(self, order: lease.Pending, now: float) -> None:
+        """Records that an adapter was unloaded when the answer was sent.
 
-        The answer is the same where there was nothing to unload. Then no
-        order was counted, and what is concluded here is no use to anybody:
-        an order with the next count is refused.
+        The engine gives the same answer where there was nothing to unload, and
+        counts no order then. A count that is wrong because of that does no
+        harm: the engine refuses an order that names it.
         """
         item = (order.model, order.adapter)
         known = self._find_inventory(order)
@@ -229,14 +235,14 @@
         self._count(order, now)
         self._withdraw(item)
 
-    def note_unclear(self) -> None:
-        """Notes that only a report can tell the count of orders again."""
+    def note_uncertain(self) -> None:
+        """Marks the count of orders as unknown until the next report."""
         self.is_certain = False
 
     def _find_inventory(
         self, order: lease.Pending
     ) -> inventory_module.Inventory | None:
-        """Returns what is known for the count that an order named."""
+        """Returns the inventory if it is certain and at an order's count."""
         known = self.inventory
         if not self.is_certain or known is None:
             return None
@@ -246,12 +252,12 @@
         count = order.orders + 1
         self.least_orders = max(count, self.least_orders)
         self.counted_at = now
-        self._pass_stray(count)
+        self._clear_abandoned(count)
         known = self.inventory
         if known is None or known.orders < self.least_orders:
             self.is_certain = False
 
-    def _pass_stray(self, count: int) -> None:
+    def _clear_abandoned(self, count: int) -> None:
         if self.abandoned is not None and count > self.abandoned.orders:
             self.abandoned = None
 
@@ -265,21 +271,24 @@
     # For operators
 
     def describe_room(self, now: float) -> dict[str, str]:
-        """Returns what an order's room is worked out from, for the log.
+        """Returns the state that an order was based on, for the log.
 
         Returns:
-            `room`: every item that is charged, with a plus if it is on its
-            way and a minus if it is being unloaded; whether that is certain;
-            the ages of the last report and of the entry, seconds.
+            `room`: every charged item, with a plus if it is being loaded and
+            a minus if it is being unloaded; `certain`: whether that is
+            certain; `report_age`, `entry_age`: the ages of the last report and
+            of the entry, seconds.
         """
         return {
-            "room": " ".join(self._mark(i) for i in sorted(self.charged())),
+            "room": " ".join(
+                self._format_item(i) for i in sorted(self.charged())
+            ),
             "certain": str(self.is_certain),
             "report_age": f"{now - self.reported_at:.2f}",
             "entry_age": f"{now - self.listed_at:.2f}",
         }
 
-    def _mark(self, item: Item) -> str:
+    def _format_item(self, item: Item) -> str:
         model, adapter = item
         name = f"{model}/{adapter}" if adapter else model
         known = self.inventory
@@ -290,7 +299,7 @@
         return name + plus + minus
 
     def describe(self) -> dict[str, Any]:
-        """Returns what the state dump shows."""
+        """Returns the engine's state for the state dump."""
         return {
             "endpoint": self.endpoint,
             "orders": self.inventory.orders if self.inventory else None,
--- a/tests/gateway/test_detached_operation.py
+++ b/tests/gateway/test_detached_operation.py
@@ -1,4 +1,4 @@
-"""The holder goes on ordering engines while the store answers nobody."""
+"""Detached operation: the holder orders engines without the store."""
 
 import asyncio
 import dataclasses
@@ -13,35 +13,35 @@
 
 
 def report(instance, echo=(1, 5_000_000), **fields):
-    told = facts.Report(instance, "h", "p", 1, True, (), (), *echo)
-    return dataclasses.replace(told, **fields)
+    base = facts.Report(instance, "h", "p", 1, True, (), (), *echo)
+    return dataclasses.replace(base, **fields)
 
 
 def source(number):
     return ("10.0.0.1", number)
 
 
-def test_words_in_answer_to_another_holder_do_not_count():
+def test_answers_to_another_holder_do_not_count():
     members = members_module.Members()
     members.take(report("g2", is_cut_off=True), source(2), set())
     members.take(
         report("g3", (2, 7_000_000), is_cut_off=True), source(3), set()
     )
-    words = members.list_words(2, "10.0.0.1:1")
-    assert words == [
+    statuses = members.list_words(2, "10.0.0.1:1")
+    assert statuses == [
         detachment.PeerStatus(float("-inf"), True),
         detachment.PeerStatus(7.0, True),
     ]
 
 
-def test_own_word_and_those_of_stopping_instances_are_left_out():
+def test_own_and_stopping_instances_are_left_out():
     members = members_module.Members()
     members.take(report("g1"), source(1), set())
     members.take(report("g2", is_leaving=True), source(2), set())
     assert members.list_words(1, "10.0.0.1:1") == []
 
 
-def test_silent_instance_is_missed_unless_it_said_that_it_stops(monkeypatch):
+def test_unresponsive_instance_is_missing_unless_it_was_stopping(monkeypatch):
     members = members_module.Members()
     members.take(report("g2"), source(2), set())
     members.take(report("g3", is_leaving=True), source(3), set())
@@ -50,13 +50,13 @@
     assert members.list_missing() == [fanout.Peer("10.0.0.1:2", "h")]
     members.forget_missing()
     assert members.list_missing()
-    monkeypatch.setattr(detachment, "MISSING", 0.0)
+    monkeypatch.setattr(detachment, "MISSING_SECONDS", 0.0)
     members.forget_missing()
     assert not members.list_missing()
 
 
-def test_new_holder_misses_whom_it_was_told_of():
-    # It may be one that took the lease after ours, unheard.
+def test_new_holder_lists_announced_peers_as_missing():
+    # A missing instance may have taken the lease meanwhile, unnoticed.
     members = members_module.Members()
     members.adopt_peers((("10.0.0.1:2", "h"),))
     members.begin()
@@ -66,7 +66,7 @@
 
 
 async def load_without_store(system, engine):
-    """Asks for a model until it is loaded; the store is silent."""
+    """Requests a model until it is loaded, while the store is unreachable."""
     for number in range(80):
         answer = await test_placement.ask(system, "m2", f"r{number}")
         if answer.status == 200:
@@ -76,9 +76,9 @@
 
 
 @harness.run
-async def test_models_are_loaded_while_the_store_answers_nobody(system):
-    # For all of an outage of eight seconds nothing was loaded, and demand that
-    # moved meanwhile was refused until long after it.
+async def test_models_are_loaded_while_the_store_is_unreachable(system):
+    # Without detached operation nothing is loaded during an outage of the
+    # store, and demand that shifts meanwhile is refused until long after it.
     engine = await system.add(
         "e1", "models", ["m1"], test_requests.stream_whole
     )
@@ -89,7 +89,7 @@
     assert await load_without_store(system, engine)
     assert "m2" in engine.models
     assert len(system.store.objects.get("wayslip-claims", {})) == writes
-    # The other one keeps away from the engine for a while.
+    # The other instance holds off from the engine for a while.
     assert not other._order_sender.claims.may_claim("e1")
     system.store.faults.is_silent = False
     await system.until(lambda: system.gateway.leadership.is_valid)
@@ -102,8 +102,8 @@
     other = await system.join("g2")
     holder = system.gateway
     await system.until(lambda: holder.leadership.is_valid)
-    # Only the holder's calls fail.
-    holder.leadership._renewal_timeout.worsen()
+    # Only the holder's renewals time out; the other reaches the store.
+    holder.leadership._renewal_timeout.expire()
     detached_operation = holder._announcer._detached_operation
     for _ in range(20):
         assert not detached_operation.is_granted
