--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -67,7 +67,7 @@
         f"i-{n:08x}": copies.Engine(
             name=f"i-{n:08x}",
             models=frozenset(rng.sample(names, 3)),
-            coming={},
+            pending_loads={},
             charged_mb=210_000.0,
             adapters_mb={},
             is_free=True,
--- a/src/wayslip/decisions/backlog.py
+++ b/src/wayslip/decisions/backlog.py
@@ -18,7 +18,7 @@
 EMPTY: Backlog = ()
 
 
-def at(priority: int, seconds: float) -> Backlog:
+def of_request(priority: int, seconds: float) -> Backlog:
     """Returns a backlog of one request."""
     level = min(max(priority, 0), PRIORITIES - 1)
     return (0.0,) * level + (round(seconds, 4),)
@@ -36,7 +36,7 @@
     return _trim(max(a - b, 0.0) for a, b in pairs)
 
 
-def ahead(backlog: Backlog, priority: int) -> float:
+def seconds_ahead(backlog: Backlog, priority: int) -> float:
     """Returns the seconds of reading before a new request's turn."""
     before = sum(backlog[: priority + 1])
     return before + _BELOW_SHARE * sum(backlog[priority + 1 :])
--- a/src/wayslip/decisions/condition.py
+++ b/src/wayslip/decisions/condition.py
@@ -33,23 +33,23 @@
     misses: int = 0
     rests_until: float = 0.0
 
-    def failing(self, now: float) -> float:
+    def failure_rate(self, now: float) -> float:
         """Returns the share of failures that is expected now."""
         return self.rate * 0.5 ** (max(now - self.at, 0.0) / _HALF_LIFE)
 
     def note(self, is_failure: bool, now: float) -> "Condition":
         """Returns the condition after an answer."""
-        rate = self.failing(now) * (1 - _WEIGHT)
+        rate = self.failure_rate(now) * (1 - _WEIGHT)
         if is_failure:
             rate += _WEIGHT
         return dataclasses.replace(
             self, rate=rate, at=now, misses=0, rests_until=0.0
         )
 
-    def miss(self, now: float) -> "Condition":
+    def note_unreachable(self, now: float) -> "Condition":
         """Returns the condition after it was not reached or broke off."""
         rest = min(_FIRST_REST * 2**self.misses, _LONGEST_REST)
-        rate = self.failing(now) * (1 - _WEIGHT) + _WEIGHT
+        rate = self.failure_rate(now) * (1 - _WEIGHT) + _WEIGHT
         return Condition(rate, now, self.misses + 1, now + rest)
 
     def is_backing_off(self, now: float) -> bool:
--- a/src/wayslip/decisions/copies.py
+++ b/src/wayslip/decisions/copies.py
@@ -18,7 +18,7 @@
 # of the time, by the rates that engines have, one that comes waits for most of
 # a second. On a fleet of 195 instances and 79 engines 0.830 of the tries were
 # answered with 0.45 and 0.820 with 0.65, in 16 s of moving demand, a play each.
-BUSY_SHARE = 0.45
+MAX_READING_SHARE = 0.45
 # Part of the worth of a request that is saved where an engine is not busier
 # than that: a late answer earns a half at one user and a tenth at the other.
 SPREAD_WORTH = 0.3
@@ -40,7 +40,7 @@
 MOVING_LOSS = 0.6
 # A loaded model is not taken away for this long, so that the requests it was
 # loaded for can come back for it.
-SETTLE_SECONDS = 4.0
+MIN_RESIDENT_SECONDS = 4.0
 # Unloading waits for a model's runs, seconds; a model without demand has none.
 UNLOAD_SECONDS = 1.5
 _IDLE_RATE = 0.1
@@ -74,7 +74,7 @@
 
     Attributes:
         models: Models that it holds.
-        coming: Models that it loads, with the seconds until they serve.
+        pending_loads: Models that it loads, with the seconds until they serve.
         charged_mb: Memory that is or may be taken, adapters included.
         adapters_mb: Memory of the adapters of each model.
         is_free: Whether it can take an order now.
@@ -83,12 +83,12 @@
         on_disk: Models it loads in `disk_s`.
         limit: Requests a second that it takes from all instances together,
             None for no limit.
-        rest: Seconds for which it wants no requests.
+        backoff: Seconds for which it wants no requests.
     """
 
     name: str
     models: frozenset[str]
-    coming: Mapping[str, float]
+    pending_loads: Mapping[str, float]
     charged_mb: float
     adapters_mb: Mapping[str, float]
     is_free: bool
@@ -96,12 +96,12 @@
     in_memory: frozenset[str] = frozenset()
     on_disk: frozenset[str] = frozenset()
     limit: float | None = None
-    rest: float = 0.0
+    backoff: float = 0.0
 
     @property
-    def is_in_need(self) -> bool:
+    def is_constrained(self) -> bool:
         """Whether it takes less than it could."""
-        return self.limit is not None or self.rest > 0
+        return self.limit is not None or self.backoff > 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -110,12 +110,12 @@
 
     Attributes:
         held: Engines that hold it.
-        coming: Engines that load it.
+        pending_loads: Engines that load it.
         arrival: Seconds until the first of those can serve.
     """
 
     held: tuple[str, ...] = ()
-    coming: int = 0
+    pending_loads: int = 0
     arrival: float = HORIZON_SECONDS
 
     @property
@@ -200,7 +200,7 @@
             e.name: self._find_capacity(e) for e in engines.values()
         }
         self.spare = {
-            name: max(BUSY_SHARE * self._capacity[name] - busy, 0.0)
+            name: max(MAX_READING_SHARE * self._capacity[name] - busy, 0.0)
             for name, busy in self._busy.items()
         }
         self.busy_loss = self._find_busy_loss()
@@ -233,7 +233,7 @@
 
     def _find_capacity(self, engine: Engine) -> float:
         """Returns the part of the horizon that an engine serves in."""
-        served = 1.0 - min(engine.rest / HORIZON_SECONDS, 1.0)
+        served = 1.0 - min(engine.backoff / HORIZON_SECONDS, 1.0)
         if engine.limit is None:
             return served
         asked = sum(
@@ -253,8 +253,10 @@
         for name in self.copies[model].held:
             busy = self._busy[name]
             most = self._capacity[name]
-            if busy > BUSY_SHARE * most:
-                late += part * (min(busy, most) - BUSY_SHARE * most) / busy
+            if busy > MAX_READING_SHARE * most:
+                late += (
+                    part * (min(busy, most) - MAX_READING_SHARE * most) / busy
+                )
                 lost += part * max(busy - most, 0.0) / busy
         return late, lost
 
@@ -267,15 +269,15 @@
         """Returns what one more copy of a model is wanted for."""
         copies = self.copies[model]
         asked = self.demand(model)
-        is_nowhere = not copies.held and not copies.coming
+        is_nowhere = not copies.held and not copies.pending_loads
         # Copies on their way will take a part of what is too much now.
         late, lost = self._sum_excess(model)
         return CopyValue(
             soonest=copies.soonest,
             rate=asked.rate,
             unserved=asked.unserved if is_nowhere else 0.0,
-            late=late / (1 + copies.coming),
-            lost=lost / (1 + copies.coming),
+            late=late / (1 + copies.pending_loads),
+            lost=lost / (1 + copies.pending_loads),
             requests=asked.rate / asked.work if asked.work else 0.0,
         )
 
@@ -289,7 +291,7 @@
         known = self._free.get(weights_mb)
         if known is None:
             free = [e for e in self.engines.values() if e.is_free]
-            able = [e for e in free if not e.is_in_need] or free
+            able = [e for e in free if not e.is_constrained] or free
             rooms = {e.name: self._make_room(e, weights_mb) for e in able}
             made = {n: room for n, room in rooms.items() if room is not None}
             names = sorted(made, key=lambda name: made[name].loss)
@@ -347,17 +349,17 @@
     engines: Mapping[str, Engine], pool: manifest.Pool
 ) -> dict[str, Copies]:
     held: dict[str, list[str]] = {m: [] for m in pool.models}
-    coming: dict[str, list[float]] = {m: [] for m in pool.models}
+    pending_loads: dict[str, list[float]] = {m: [] for m in pool.models}
     for engine in engines.values():
         for model in engine.models:
             held.setdefault(model, []).append(engine.name)
-        for model, seconds in engine.coming.items():
-            coming.setdefault(model, []).append(seconds)
+        for model, seconds in engine.pending_loads.items():
+            pending_loads.setdefault(model, []).append(seconds)
     return {
         m: Copies(
             tuple(names),
-            len(coming.get(m, ())),
-            min([*coming.get(m, ()), HORIZON_SECONDS]),
+            len(pending_loads.get(m, ())),
+            min([*pending_loads.get(m, ()), HORIZON_SECONDS]),
         )
         for m, names in held.items()
     }
--- a/src/wayslip/decisions/copy_sources.py
+++ b/src/wayslip/decisions/copy_sources.py
@@ -17,10 +17,10 @@
 
 # Instances that ask the lease's holder at once, on average: 24 copies of
 # 0.07 MB take 0.14 s of a link of 100 Mbit/s.
-HOLDER_MOST = 24.0
+MEAN_HOLDER_REQUESTS = 24.0
 # Copies already on their way may delay the next one by this much, seconds. An
 # instance that is refused finds another one sooner.
-QUEUE_MOST = 0.3
+MAX_QUEUE_SECONDS = 0.3
 # Share of a link that copies for other instances may take; the rest is for
 # callers' answers.
 _LINK_SHARE = 0.5
@@ -39,7 +39,7 @@
     others = [p for p in peers if p != holder]
     if holder is None:
         return rng.choice(others) if others else None
-    if not others or rng.random() < HOLDER_MOST / (len(others) + 1):
+    if not others or rng.random() < MEAN_HOLDER_REQUESTS / (len(others) + 1):
         return holder
     return rng.choice(others)
 
@@ -56,6 +56,6 @@
         bytes_per_s: Of the link.
     """
     began = max(free_at, now)
-    if began - now > QUEUE_MOST:
+    if began - now > MAX_QUEUE_SECONDS:
         return None
     return began + size / (bytes_per_s * _LINK_SHARE)
--- a/src/wayslip/decisions/detachment.py
+++ b/src/wayslip/decisions/detachment.py
@@ -17,10 +17,10 @@
 # answers, seconds: four reports of a fleet of 200, where each instance reports
 # every 0.5 s and its word is 0.8 s old when the next one comes. Less than that
 # turned every lost datagram of one instance into a pause of all orders.
-ECHO_SECONDS = 2.0
+STATUS_LIFETIME_SECONDS = 2.0
 # An instance that reaches the store again is given to the holder for so long
 # before it yields, seconds; the holder tries several times meanwhile.
-RETURN_SECONDS = 0.8
+YIELD_DELAY_SECONDS = 0.8
 # An instance that fell silent without saying that it stops may be cut off from
 # us and not from the store. It takes the lease then, within two seconds; one
 # that has not done so after this long while ours was renewed is gone, or cut
@@ -30,7 +30,7 @@
 # seconds.
 _ON_ITS_WAY = 0.5
 # How long after a detached holder was last heard it may still order, seconds.
-HOLD_OFF_SECONDS = ECHO_SECONDS + _ON_ITS_WAY
+HOLD_OFF_SECONDS = STATUS_LIFETIME_SECONDS + _ON_ITS_WAY
 
 
 def make_stamp(now: float) -> int:
@@ -58,11 +58,11 @@
     Attributes:
         echoed_at: When the holder sent the statement that it answers, steady
             seconds of the holder.
-        cut_off: Whether the store did not answer it when it last tried.
+        is_disconnected: Whether the store did not answer it when it last tried.
     """
 
     echoed_at: float
-    cut_off: bool
+    is_disconnected: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -73,16 +73,19 @@
         proposed_at: Since when the holder says that it goes on without the
             store, None while it does not.
         is_granted: Whether all have heard so, and it may order engines.
-        reached_since: Since when somebody has reached the store, None while
-            nobody does.
+        store_reached_since: Since when an instance has reached the store,
+            None while none does.
     """
 
     proposed_at: float | None = None
     is_granted: bool = False
-    reached_since: float | None = None
+    store_reached_since: float | None = None
 
     def judge(
-        self, words: Iterable[PeerStatus], is_anyone_missing: bool, now: float
+        self,
+        words: Iterable[PeerStatus],
+        has_missing_instance: bool,
+        now: float,
     ) -> "Detachment":
         """Returns what the holder may do, given all instances' last words.
 
@@ -92,21 +95,25 @@
 
         Args:
             words: One of every other instance that runs.
-            is_anyone_missing: Whether one fell silent without saying why.
+            has_missing_instance: Whether one fell silent without saying why.
             now: Steady seconds.
         """
         known = list(words)
-        if is_anyone_missing:
+        if has_missing_instance:
             return NONE
         since = None
-        if not all(w.cut_off for w in known):
+        if not all(w.is_disconnected for w in known):
             if not self.is_granted:
                 return NONE
-            since = now if self.reached_since is None else self.reached_since
-            if now - since >= RETURN_SECONDS:
+            since = (
+                now
+                if self.store_reached_since is None
+                else self.store_reached_since
+            )
+            if now - since >= YIELD_DELAY_SECONDS:
                 return NONE
         proposed = now if self.proposed_at is None else self.proposed_at
-        oldest = max(proposed, now - ECHO_SECONDS)
+        oldest = max(proposed, now - STATUS_LIFETIME_SECONDS)
         has_all = all(w.echoed_at >= oldest for w in known)
         return Detachment(proposed, has_all, since)
 
--- a/src/wayslip/decisions/fanout.py
+++ b/src/wayslip/decisions/fanout.py
@@ -13,9 +13,9 @@
 
 # A fleet up to this size is told directly: a statement of 3 KB is then 50 KB
 # at the sender, which a link of 10 Mbit/s takes in 40 ms.
-DIRECT_MOST = 16
+MAX_DIRECT_RECIPIENTS = 16
 # Instances that a head passes a statement on to; the same reason.
-BRANCH = 10
+MAX_RELAY_RECIPIENTS = 10
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -30,8 +30,8 @@
 class Branch:
     """Whom to send to, and whom that instance passes it on to."""
 
-    head: str
-    others: tuple[str, ...] = ()
+    relay: str
+    recipients: tuple[str, ...] = ()
 
 
 def plan(peers: Iterable[Peer], rng: random.Random) -> list[Branch]:
@@ -42,7 +42,7 @@
         rng: Draws the heads.
     """
     known = list(peers)
-    if len(known) <= DIRECT_MOST:
+    if len(known) <= MAX_DIRECT_RECIPIENTS:
         return [Branch(p.address) for p in known]
     halls: dict[str, list[str]] = {}
     for peer in known:
@@ -50,8 +50,8 @@
     branches: list[Branch] = []
     for members in halls.values():
         rng.shuffle(members)
-        step = BRANCH + 1
+        step = MAX_RELAY_RECIPIENTS + 1
         for first in range(0, len(members), step):
-            head, *others = members[first : first + step]
-            branches.append(Branch(head, tuple(others)))
+            relay, *recipients = members[first : first + step]
+            branches.append(Branch(relay, tuple(recipients)))
     return branches
--- a/src/wayslip/decisions/fleet.py
+++ b/src/wayslip/decisions/fleet.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
-class Start:
+class Incarnation:
     """Names one start of an endpoint; see `Endpoint.born`."""
 
     endpoint: str
@@ -44,9 +44,9 @@
     born: int = 0
 
     @property
-    def start(self) -> Start:
+    def incarnation(self) -> Incarnation:
         """What tells this start from others of the same name."""
-        return Start(self.name, self.born)
+        return Incarnation(self.name, self.born)
 
     def is_before(self, other: "Endpoint") -> bool:
         """Whether this entry is older than another of the same name."""
@@ -82,14 +82,14 @@
     Attributes:
         orders: How many orders it has taken since its start.
         is_busy: Whether it is loading or unloading a model.
-        coming: Adapters on their way to it.
+        pending_loads: Adapters on their way to it.
         born: When it started; see `Endpoint`.
     """
 
     orders: int
     is_busy: bool
     models: dict[str, frozenset[str]]
-    coming: frozenset[Item] = frozenset()
+    pending_loads: frozenset[Item] = frozenset()
     born: int = 0
 
 
--- a/src/wayslip/decisions/freshness.py
+++ b/src/wayslip/decisions/freshness.py
@@ -12,7 +12,7 @@
 
 # A watch of the store may hear nothing for this long though changes are made,
 # before its history goes; its word may be older by so much, seconds.
-MUTE_SECONDS = 1.0
+MAX_WATCH_LAG_SECONDS = 1.0
 # Between the check of a key and the request's leaving, seconds.
 _ON_ITS_WAY = 0.1
 # Share of the bound at which another confirmation is asked for. The rest is
@@ -65,7 +65,10 @@
         """Whether a key that the configuration holds may be relied on."""
         if self.bound is None:
             return True
-        return now - self.proven_at < self.bound - MUTE_SECONDS - _ON_ITS_WAY
+        return (
+            now - self.proven_at
+            < self.bound - MAX_WATCH_LAG_SECONDS - _ON_ITS_WAY
+        )
 
     def is_due(self, now: float) -> bool:
         """Whether another confirmation should be asked for."""
--- a/src/wayslip/decisions/health.py
+++ b/src/wayslip/decisions/health.py
@@ -61,7 +61,7 @@
             self, left_at=now, sign=sign, listed_leaving=listed
         )
 
-    def list_live(self) -> "Health":
+    def note_listed_live(self) -> "Health":
         """Returns the health after the platform's list called it live.
 
         The list lags, so this alone does not bring the endpoint back.
@@ -72,7 +72,7 @@
         """Returns the health after a connection failed."""
         return dataclasses.replace(self, failures=self.failures + 1)
 
-    def prove(self, asked_at: float) -> "Health":
+    def confirm_serving(self, asked_at: float) -> "Health":
         """Returns the health after a report in which the endpoint serves.
 
         Args:
--- a/src/wayslip/decisions/inventory.py
+++ b/src/wayslip/decisions/inventory.py
@@ -21,31 +21,31 @@
     Attributes:
         orders: Orders that it has taken.
         items: What takes memory or a place, on its way or being unloaded too.
-        arriving: Those that no report has shown in place yet.
-        departing: Those that it was ordered to unload.
+        loading: Those that no report has shown in place yet.
+        unloading: Those that it was ordered to unload.
     """
 
     orders: int
     items: frozenset[fleet.Item]
-    arriving: frozenset[fleet.Item] = frozenset()
-    departing: frozenset[fleet.Item] = frozenset()
+    loading: frozenset[fleet.Item] = frozenset()
+    unloading: frozenset[fleet.Item] = frozenset()
 
     @property
-    def in_place(self) -> frozenset[fleet.Item]:
+    def resident(self) -> frozenset[fleet.Item]:
         """What is there and stays.
 
         Only this may be ordered away. An unload of anything else may be
         answered as done though it does nothing and counts as no order.
         """
-        return self.items - self.arriving - self.departing
+        return self.items - self.loading - self.unloading
 
     def load(self, item: fleet.Item) -> "Inventory":
         """Returns what follows on an order to load that was taken."""
         return Inventory(
             self.orders + 1,
             self.items | {item},
-            self.arriving | {item},
-            self.departing,
+            self.loading | {item},
+            self.unloading,
         )
 
     def begin_unload(self, item: fleet.Item) -> "Inventory":
@@ -59,8 +59,8 @@
         return Inventory(
             self.orders + 1,
             self.items,
-            self.arriving,
-            self.departing | gone | {item},
+            self.loading,
+            self.unloading | gone | {item},
         )
 
     def drop(self, item: fleet.Item) -> "Inventory":
@@ -68,8 +68,8 @@
         return Inventory(
             self.orders + 1,
             self.items - {item},
-            self.arriving,
-            self.departing,
+            self.loading,
+            self.unloading,
         )
 
 
@@ -80,8 +80,8 @@
     """
     if state.is_busy:
         return None
-    items = frozenset(fleet.list_items(state.models)) | state.coming
-    return Inventory(state.orders, items, state.coming)
+    items = frozenset(fleet.list_items(state.models)) | state.pending_loads
+    return Inventory(state.orders, items, state.pending_loads)
 
 
 def update(
--- a/src/wayslip/decisions/loading.py
+++ b/src/wayslip/decisions/loading.py
@@ -45,7 +45,10 @@
     wants = {m: world.find_copy_value(m) for m in demand if m in pool.models}
     # What each gains if it could serve at once on an idle engine.
     bounds = sorted(
-        ((want.gain(0.0, copies.BUSY_SHARE), m) for m, want in wants.items()),
+        (
+            (want.gain(0.0, copies.MAX_READING_SHARE), m)
+            for m, want in wants.items()
+        ),
         reverse=True,
     )
     best: Step | None = None
--- a/src/wayslip/decisions/suspicion.py
+++ b/src/wayslip/decisions/suspicion.py
@@ -44,7 +44,7 @@
 
     Attributes:
         content: Its digest; see `contents`.
-        endpoint, born: The start that ended; see `fleet.Start`.
+        endpoint, born: The start that ended; see `fleet.Incarnation`.
         depth: How deep the content was in suspicion, as far as its sender
             knew when it sent it.
         reporter: The instance that sent it.
@@ -60,9 +60,9 @@
     attempts: int = 1
 
     @property
-    def start(self) -> fleet.Start:
+    def start(self) -> fleet.Incarnation:
         """What ended."""
-        return fleet.Start(self.endpoint, self.born)
+        return fleet.Incarnation(self.endpoint, self.born)
 
 
 @dataclasses.dataclass
@@ -75,7 +75,7 @@
     """
 
     since: float
-    crash_records: dict[fleet.Start, dict[str, CrashRecord]] = (
+    crash_records: dict[fleet.Incarnation, dict[str, CrashRecord]] = (
         dataclasses.field(default_factory=dict)
     )
 
@@ -118,11 +118,11 @@
 
     def __init__(self) -> None:
         self._suspects: dict[bytes, _Suspect] = {}
-        self._at_start: dict[fleet.Start, set[bytes]] = {}
+        self._at_start: dict[fleet.Incarnation, set[bytes]] = {}
         # Contents that endpoints answered before, and since when that is known.
         self._common: dict[bytes, float] = {}
         # Marks that no longer count, and since when.
-        self._cleared: dict[tuple[bytes, fleet.Start], float] = {}
+        self._cleared: dict[tuple[bytes, fleet.Incarnation], float] = {}
 
     def __bool__(self) -> bool:
         """Whether any content is under suspicion."""
@@ -263,7 +263,7 @@
         self._common = {c: t for c, t in self._common.items() if t > limit}
         return bool(old)
 
-    def _drop(self, content: bytes, start: fleet.Start) -> None:
+    def _drop(self, content: bytes, start: fleet.Incarnation) -> None:
         suspect = self._suspects.get(content)
         if suspect is None or start not in suspect.crash_records:
             return
@@ -276,7 +276,7 @@
         for start in self._suspects.pop(content).crash_records:
             self._leave(content, start)
 
-    def _leave(self, content: bytes, start: fleet.Start) -> None:
+    def _leave(self, content: bytes, start: fleet.Incarnation) -> None:
         there = self._at_start[start]
         there.discard(content)
         if not there:
--- a/src/wayslip/entry/view.py
+++ b/src/wayslip/entry/view.py
@@ -349,7 +349,7 @@
         if value.phase is kinds.Phase.LEAVING:
             self._leave(name, health_module.LeavingSource.LIST)
         else:
-            self._change(name, lambda h: h.list_live())
+            self._change(name, lambda h: h.note_listed_live())
 
     def adopt(self, endpoint: kinds.Endpoint) -> None:
         """Takes in an endpoint of the list, from the platform or a peer."""
@@ -398,7 +398,7 @@
         if not serves:
             self._leave(name, health_module.LeavingSource.REPORT)
             return
-        self._change(name, lambda h: h.prove(asked_at))
+        self._change(name, lambda h: h.confirm_serving(asked_at))
 
     def _take_report(
         self, tracked: _Tracked, report: engine_module.Report, asked_at: float
--- a/src/wayslip/gateway/adapters.py
+++ b/src/wayslip/gateway/adapters.py
@@ -191,7 +191,7 @@
     ) -> bool:
         """Whether an engine takes less than it could."""
         endpoint = tracked_engine.endpoint
-        limit = self._words.find_limit(endpoint.start)
+        limit = self._words.find_limit(endpoint.incarnation)
         return limit is not None or self._words.find_backoff(endpoint) > 0
 
     async def _carry_out(
--- a/src/wayslip/gateway/daemon.py
+++ b/src/wayslip/gateway/daemon.py
@@ -238,7 +238,7 @@
         The list may say so seconds later, and not at all while the store is
         away; the others and the planner are to know it as soon.
         """
-        if self.view.note_leaving(endpoint.start, self._options.name):
+        if self.view.note_leaving(endpoint.incarnation, self._options.name):
             told = facts.Leaving(endpoint.name, endpoint.born)
             self._peer_broadcast.spread(told)
             self._placement.notify()
@@ -394,7 +394,7 @@
         elif isinstance(message, facts.Confirmed):
             self._configuration_sync.confirmations.take(message)
         elif isinstance(message, facts.Leaving):
-            start = fleet.Start(message.endpoint, message.born)
+            start = fleet.Incarnation(message.endpoint, message.born)
             if self.view.note_leaving(start, source[0]):
                 self._peer_broadcast.pass_on(message)
         elif isinstance(message, facts.Limited):
--- a/src/wayslip/gateway/detached_operation.py
+++ b/src/wayslip/gateway/detached_operation.py
@@ -81,6 +81,6 @@
             doubtful=self._leadership.is_renewal_overdue,
             instances=len(words),
             oldest=f"{clock.now() - oldest:.2f}",
-            cut_off=sum(w.cut_off for w in words),
+            cut_off=sum(w.is_disconnected for w in words),
             missing=",".join(p.address for p in self.list_missing()),
         )
--- a/src/wayslip/gateway/endpoint_notices.py
+++ b/src/wayslip/gateway/endpoint_notices.py
@@ -32,13 +32,13 @@
     """Words of endpoints, by their starts. Used on the event loop only."""
 
     def __init__(self) -> None:
-        self._leaving: dict[fleet.Start, float] = {}
-        self._rests: dict[fleet.Start, float] = {}
+        self._leaving: dict[fleet.Incarnation, float] = {}
+        self._rests: dict[fleet.Incarnation, float] = {}
         # Until when all places of a limited endpoint are taken.
-        self._spent: dict[fleet.Start, float] = {}
-        self._limits: dict[fleet.Start, _Limit] = {}
+        self._spent: dict[fleet.Incarnation, float] = {}
+        self._limits: dict[fleet.Incarnation, _Limit] = {}
 
-    def note_leaving(self, start: fleet.Start) -> bool:
+    def note_leaving(self, start: fleet.Incarnation) -> bool:
         """Notes that an endpoint takes no new work, for good.
 
         Args:
@@ -56,11 +56,11 @@
 
     def is_leaving(self, endpoint: fleet.Endpoint) -> bool:
         """Whether an endpoint said that it takes no new work."""
-        return endpoint.start in self._leaving
+        return endpoint.incarnation in self._leaving
 
     def note_backoff(self, endpoint: fleet.Endpoint, seconds: float) -> None:
         """Notes that an endpoint wants nothing from us for some time."""
-        start = endpoint.start
+        start = endpoint.incarnation
         until = clock.now() + seconds
         # One asked for earlier may last longer.
         self._rests[start] = max(until, self._rests.get(start, until))
@@ -69,26 +69,26 @@
 
     def note_spent(self, endpoint: fleet.Endpoint, seconds: float) -> None:
         """Notes that all places of a limited endpoint are taken for a while."""
-        self._spent[endpoint.start] = clock.now() + seconds
+        self._spent[endpoint.incarnation] = clock.now() + seconds
         if len(self._spent) > _STARTS_MOST:
             del self._spent[next(iter(self._spent))]
 
     def find_backoff(self, endpoint: fleet.Endpoint) -> float:
         """Returns the seconds for which an endpoint wants nothing from us."""
-        return _find_left(self._rests, endpoint.start)
+        return _find_left(self._rests, endpoint.incarnation)
 
     def find_pause(self, endpoint: fleet.Endpoint) -> float:
         """Returns the seconds until an endpoint may take a request of ours.
 
         It asked for rest, or all places in its limit are taken.
         """
-        spent = _find_left(self._spent, endpoint.start)
+        spent = _find_left(self._spent, endpoint.incarnation)
         return max(self.find_backoff(endpoint), spent)
 
     # Limits
 
     def note_limit(
-        self, start: fleet.Start, rate: float | None, sent_at: float
+        self, start: fleet.Incarnation, rate: float | None, sent_at: float
     ) -> bool:
         """Notes the limit that an answer names, or that it names none.
 
@@ -122,7 +122,7 @@
             del self._limits[next(iter(self._limits))]
         return is_news
 
-    def find_limit(self, start: fleet.Start) -> float | None:
+    def find_limit(self, start: fleet.Incarnation) -> float | None:
         """Returns the requests a second that an endpoint takes from all.
 
         Returns:
@@ -132,7 +132,9 @@
         return None if known is None else known.rate
 
 
-def _find_left(until: dict[fleet.Start, float], start: fleet.Start) -> float:
+def _find_left(
+    until: dict[fleet.Incarnation, float], start: fleet.Incarnation
+) -> float:
     """Returns the seconds that are left of a time; forgets one that is over."""
     if start not in until:
         return 0.0
--- a/src/wayslip/gateway/hub.py
+++ b/src/wayslip/gateway/hub.py
@@ -77,9 +77,9 @@
         payload = datagrams.encode(message)
         for branch in fanout.plan(peers, self._rng):
             data = payload
-            if branch.others:
-                data = datagrams.encode(facts.Relay(branch.others, payload))
-            self._send(data, addresses.split_address(branch.head))
+            if branch.recipients:
+                data = datagrams.encode(facts.Relay(branch.recipients, payload))
+            self._send(data, addresses.split_address(branch.relay))
 
     def _send(self, data: bytes, address: Address) -> None:
         if self._transport is None or self._transport.is_closing():
--- a/src/wayslip/gateway/order_sender.py
+++ b/src/wayslip/gateway/order_sender.py
@@ -326,7 +326,7 @@
         is_done = item not in known.items
     if is_done:
         return engines_module.OrderOutcome.HELD
-    if action is lease.Action.UNLOAD and item not in known.in_place:
+    if action is lease.Action.UNLOAD and item not in known.resident:
         return engines_module.OrderOutcome.REFUSED
     return None
 
--- a/src/wayslip/gateway/permit_broker.py
+++ b/src/wayslip/gateway/permit_broker.py
@@ -43,10 +43,10 @@
             burst: Places that each saves up at most.
         """
         self._burst = burst
-        self._accounts: dict[fleet.Start, permits.PermitBucket] = {}
+        self._accounts: dict[fleet.Incarnation, permits.PermitBucket] = {}
 
     def take(
-        self, start: fleet.Start, rate: float, max_wait: float
+        self, start: fleet.Incarnation, rate: float, max_wait: float
     ) -> permits.Verdict:
         """Takes a place of an endpoint under a limit."""
         now = clock.now()
@@ -61,7 +61,7 @@
             del self._accounts[next(iter(self._accounts))]
         return verdict
 
-    def begin_anew(self, start: fleet.Start) -> None:
+    def begin_anew(self, start: fleet.Incarnation) -> None:
         """Forgets what an endpoint's account has saved up."""
         self._accounts.pop(start, None)
 
@@ -123,7 +123,7 @@
             limit: Requests a second, None for no limit.
             sent_at: When its request was sent, steady seconds.
         """
-        start = endpoint.start
+        start = endpoint.incarnation
         if not self._words.note_limit(start, limit, sent_at):
             return
         self._log(start, limit, self._name)
@@ -132,14 +132,14 @@
 
     def apply_update(self, told: facts.Limited, source: str) -> None:
         """Takes in what another instance heard."""
-        start = fleet.Start(told.endpoint, told.born)
+        start = fleet.Incarnation(told.endpoint, told.born)
         if not self._words.note_limit(start, told.limit, clock.now()):
             return
         self._log(start, told.limit, source)
         self._peer_broadcast.pass_on(told)
 
     def _log(
-        self, start: fleet.Start, limit: float | None, source: str
+        self, start: fleet.Incarnation, limit: float | None, source: str
     ) -> None:
         logs.event(
             _LOG,
@@ -165,10 +165,12 @@
         Returns:
             A verdict; a place that is granted is spent.
         """
-        limit = self._words.find_limit(endpoint.start)
+        limit = self._words.find_limit(endpoint.incarnation)
         if limit is None:
             return permits.FREE
-        verdict, source = await self._decide(endpoint.start, limit, max_wait)
+        verdict, source = await self._decide(
+            endpoint.incarnation, limit, max_wait
+        )
         logs.event(
             _LOG,
             "place_asked_for",
@@ -183,7 +185,7 @@
         return verdict
 
     async def _decide(
-        self, start: fleet.Start, limit: float, max_wait: float
+        self, start: fleet.Incarnation, limit: float, max_wait: float
     ) -> tuple[permits.Verdict, str]:
         if self._leadership.is_held:
             return self._given.take(start, limit, max_wait), "own"
@@ -196,7 +198,7 @@
         return self._take_part(start, limit, max_wait), "part"
 
     async def _ask(
-        self, start: fleet.Start, limit: float, max_wait: float
+        self, start: fleet.Incarnation, limit: float, max_wait: float
     ) -> permits.Verdict | None:
         """Asks the holder; returns None if it does not answer."""
         holder = self._leadership.holder_address
@@ -219,7 +221,7 @@
             del self._asked[number]
 
     def _take_part(
-        self, start: fleet.Start, limit: float, max_wait: float
+        self, start: fleet.Incarnation, limit: float, max_wait: float
     ) -> permits.Verdict:
         """Takes a place of our own part of a limit."""
         draw = _draw(self._name, start)
@@ -236,7 +238,7 @@
         """Answers another instance, if we hold the lease."""
         if not self._leadership.is_held:
             return
-        start = fleet.Start(ask.endpoint, ask.born)
+        start = fleet.Incarnation(ask.endpoint, ask.born)
         known = self._words.find_limit(start)
         limit = ask.limit if known is None else min(ask.limit, known)
         verdict = self._given.take(start, limit, ask.max_wait)
@@ -260,13 +262,13 @@
 
         The place is spent then.
         """
-        limit = self._words.find_limit(endpoint.start)
+        limit = self._words.find_limit(endpoint.incarnation)
         if limit is None:
             return True
         share = max(limit, permits.LEAST_RATE) * permits.CALLS_SHARE
         may_call = (
-            self._calls.take(endpoint.start, share, 0.0).is_granted
-            and self._given.take(endpoint.start, limit, 0.0).is_granted
+            self._calls.take(endpoint.incarnation, share, 0.0).is_granted
+            and self._given.take(endpoint.incarnation, limit, 0.0).is_granted
         )
         if not may_call:
             logs.event(
@@ -275,7 +277,7 @@
         return may_call
 
 
-def _draw(name: str, start: fleet.Start) -> float:
+def _draw(name: str, start: fleet.Incarnation) -> float:
     """Returns a number from [0, 1), the same for an instance and endpoint."""
     text = f"{name}/{start.endpoint}/{start.born}".encode()
     digest = hashlib.blake2b(text, digest_size=_DRAW_BYTES).digest()
--- a/src/wayslip/gateway/planner_inputs.py
+++ b/src/wayslip/gateway/planner_inputs.py
@@ -67,24 +67,26 @@
     now = clock.now()
     endpoint = tracked_engine.endpoint
     total, adapters = sum_charges(tracked_engine, pool)
-    coming = {
+    pending_loads = {
         m: max(at - now, 0.0) for m, at in tracked_engine.ready_at.items()
     }
-    held = {m for m, a in tracked_engine.charged() if not a} - set(coming)
+    held = {m for m, a in tracked_engine.charged() if not a} - set(
+        pending_loads
+    )
     return copies.Engine(
         name=endpoint.name,
         models=frozenset(held),
-        coming=coming,
+        pending_loads=pending_loads,
         charged_mb=total,
         adapters_mb=adapters,
         is_free=is_free(tracked_engine, may_claim, now),
         fresh=frozenset(
             m
             for m, at in tracked_engine.loaded_at.items()
-            if now - at < copies.SETTLE_SECONDS
+            if now - at < copies.MIN_RESIDENT_SECONDS
         ),
         in_memory=endpoint.in_memory,
         on_disk=endpoint.on_disk,
-        limit=notices.find_limit(endpoint.start),
-        rest=notices.find_backoff(endpoint),
+        limit=notices.find_limit(endpoint.incarnation),
+        backoff=notices.find_backoff(endpoint),
     )
--- a/src/wayslip/gateway/quarantine.py
+++ b/src/wayslip/gateway/quarantine.py
@@ -101,7 +101,7 @@
         self._answered: collections.OrderedDict[bytes, None] = (
             collections.OrderedDict()
         )
-        self._breaks: dict[fleet.Start, _Breaks] = {}
+        self._breaks: dict[fleet.Incarnation, _Breaks] = {}
         self._background_tasks = background.BackgroundTasks("quarantine_failed")
         self._kept = blocked_contents_module.BlockedContents(
             store, find_pause, self._learn
@@ -188,7 +188,7 @@
         if endpoint.is_leaving:
             # It ends as planned, whatever is on its way there.
             return
-        start = endpoint.start
+        start = endpoint.incarnation
         breaks = self._breaks.get(start)
         if breaks is None:
             breaks = _Breaks(clock.now())
@@ -209,7 +209,7 @@
 
     async def _look(
         self,
-        start: fleet.Start,
+        start: fleet.Incarnation,
         endpoint: fleet.Endpoint,
         open_connection: Open,
     ) -> None:
@@ -233,7 +233,7 @@
         finally:
             self._breaks.pop(start, None)
 
-    def _confirm(self, start: fleet.Start) -> None:
+    def _confirm(self, start: fleet.Incarnation) -> None:
         """Takes in that an endpoint ended, and tells everybody."""
         breaks = self._breaks[start]
         crash_records = list(breaks.crash_records.values())
--- a/src/wayslip/gateway/tracked_engines.py
+++ b/src/wayslip/gateway/tracked_engines.py
@@ -105,12 +105,12 @@
         """Returns the items that an order to unload would find in place."""
         if self.inventory is None:
             return set()
-        return set(self.inventory.in_place - self.withdrawn)
+        return set(self.inventory.resident - self.withdrawn)
 
     def holds(self, item: Item) -> bool:
         """Whether a report has shown an item in place, and nothing since."""
         known = self.inventory
-        return self.is_certain and known is not None and item in known.in_place
+        return self.is_certain and known is not None and item in known.resident
 
     def lacks(self, item: Item) -> bool:
         """Whether a report has shown that an item takes no room."""
@@ -155,8 +155,8 @@
         if read is None or read is known:
             return True
         self.inventory = read
-        self.added = {i: t for i, t in self.added.items() if i in read.arriving}
-        self.withdrawn -= read.in_place
+        self.added = {i: t for i, t in self.added.items() if i in read.loading}
+        self.withdrawn -= read.resident
         self._forget_withdrawn()
         return True
 
@@ -222,7 +222,7 @@
         """
         item = (order.model, order.adapter)
         known = self._find_inventory(order)
-        if known is None or item not in known.in_place:
+        if known is None or item not in known.resident:
             self.is_certain = False
             return
         self.inventory = known.drop(item)
@@ -285,8 +285,8 @@
         known = self.inventory
         if known is None:
             return name
-        plus = "+" if item in known.arriving else ""
-        minus = "-" if item in known.departing else ""
+        plus = "+" if item in known.loading else ""
+        minus = "-" if item in known.unloading else ""
         return name + plus + minus
 
     def describe(self) -> dict[str, Any]:
--- a/src/wayslip/gateway/view.py
+++ b/src/wayslip/gateway/view.py
@@ -94,7 +94,7 @@
         """Takes in an endpoint's entry, unless a newer one is known."""
         if endpoint.is_leaving:
             # The list may come back from a copy that does not say so yet.
-            self.notices.note_leaving(endpoint.start)
+            self.notices.note_leaving(endpoint.incarnation)
         elif self.notices.is_leaving(endpoint):
             # Written before it said so, or by one that did not hear.
             endpoint = dataclasses.replace(endpoint, is_leaving=True)
@@ -128,7 +128,7 @@
             tracked
         )
 
-    def note_leaving(self, start: fleet.Start, source: str) -> bool:
+    def note_leaving(self, start: fleet.Incarnation, source: str) -> bool:
         """Takes in that an endpoint said it takes no new work.
 
         Args:
@@ -241,12 +241,12 @@
             and self._may_serve(t.endpoint, traits)
             and not self.notices.find_pause(t.endpoint)
         ]
-        usual = min((t.condition.failing(now) for t in found), default=0.0)
+        usual = min((t.condition.failure_rate(now) for t in found), default=0.0)
         return [
             dataclasses.replace(
                 self._make_candidate(t, traits, kv_tokens, usual, now),
                 is_connected=is_connected(t.endpoint.name),
-                unread=backlog.ahead(
+                unread=backlog.seconds_ahead(
                     backlog.add(t.unread, t.others[1]), priority
                 ),
             )
@@ -300,7 +300,7 @@
             None if one of them names no limit, or if there is none.
         """
         limits = [
-            self.notices.find_limit(t.endpoint.start)
+            self.notices.find_limit(t.endpoint.incarnation)
             for t in self.of_service(service)
             if self._may_serve(t.endpoint, traits)
         ]
@@ -329,11 +329,12 @@
             slots=endpoint.slots,
             reading=self.reading.estimate(traits.model, uncached),
             memory=memory,
-            failures=tracked.condition.failing(now) - usual,
+            failures=tracked.condition.failure_rate(now) - usual,
             is_near=endpoint.data_hall == self._data_hall,
             is_suspended=tracked.condition.is_backing_off(now)
             or _is_silent(tracked, now),
-            is_limited=self.notices.find_limit(endpoint.start) is not None,
+            is_limited=self.notices.find_limit(endpoint.incarnation)
+            is not None,
         )
 
     # What this instance does
@@ -356,7 +357,7 @@
         use = Use(
             tracked=tracked,
             model=traits.model,
-            unread=backlog.at(priority, seconds),
+            unread=backlog.of_request(priority, seconds),
             tokens=traits.prompt_tokens + traits.output_tokens,
             uncached=uncached,
             is_alone=sum(tracked.unread) + elsewhere < _ALONE_SECONDS,
@@ -403,7 +404,7 @@
     def note_miss(self, use: Use) -> None:
         """Notes that an endpoint was not reached, or broke off."""
         tracked = use.tracked
-        tracked.condition = tracked.condition.miss(clock.now())
+        tracked.condition = tracked.condition.note_unreachable(clock.now())
 
     def dump(self) -> dict[str, object]:
         """Returns the state of each endpoint."""
--- a/src/wayslip/platform/decoding.py
+++ b/src/wayslip/platform/decoding.py
@@ -197,7 +197,9 @@
             orders=fields.read_whole(raw, "seq", 0),
             is_busy=fields.read_flag(raw, "busy"),
             models=_decode_models(raw),
-            coming=frozenset(fields.read_list(raw, "coming", _decode_coming)),
+            pending_loads=frozenset(
+                fields.read_list(raw, "coming", _decode_coming)
+            ),
             born=fields.read_whole(raw, "born", 0, default=0),
         )
     except fields.FieldError as e:
--- a/tests/decisions/test_backlog.py
+++ b/tests/decisions/test_backlog.py
@@ -12,10 +12,12 @@
 def test_urgent_request_does_not_wait_for_less_urgent_ones():
     # 4 s of a routine batch made 126 urgent requests be refused that would
     # have waited for 0.4 s (ctta scale-1, from second 3).
-    waiting = backlog.add(backlog.at(2, 4.0), backlog.at(0, 0.2))
-    assert backlog.ahead(waiting, 0) == pytest.approx(0.4)
-    assert backlog.ahead(waiting, 1) == pytest.approx(0.4)
-    assert backlog.ahead(waiting, 2) == pytest.approx(4.2)
+    waiting = backlog.add(
+        backlog.of_request(2, 4.0), backlog.of_request(0, 0.2)
+    )
+    assert backlog.seconds_ahead(waiting, 0) == pytest.approx(0.4)
+    assert backlog.seconds_ahead(waiting, 1) == pytest.approx(0.4)
+    assert backlog.seconds_ahead(waiting, 2) == pytest.approx(4.2)
 
 
 @given(LEVELS, LEVELS)
@@ -28,10 +30,12 @@
 
 @given(LEVELS)
 def test_less_urgent_requests_never_wait_less(levels):
-    waits = [backlog.ahead(levels, p) for p in range(backlog.PRIORITIES)]
+    waits = [
+        backlog.seconds_ahead(levels, p) for p in range(backlog.PRIORITIES)
+    ]
     assert waits == sorted(waits)
 
 
 def test_priorities_beyond_the_last_are_the_last():
-    assert len(backlog.at(99, 1.0)) == backlog.PRIORITIES
-    assert backlog.at(-1, 1.0) == (1.0,)
+    assert len(backlog.of_request(99, 1.0)) == backlog.PRIORITIES
+    assert backlog.of_request(-1, 1.0) == (1.0,)
--- a/tests/decisions/test_detachment.py
+++ b/tests/decisions/test_detachment.py
@@ -30,7 +30,7 @@
 
 def test_every_word_must_be_fresh():
     proposed = detachment.Detachment(5.0, True)
-    old = 10.0 - detachment.ECHO_SECONDS - 0.01
+    old = 10.0 - detachment.STATUS_LIFETIME_SECONDS - 0.01
     answer = proposed.judge([cut(), cut(old)], False, 10.0)
     assert answer == detachment.Detachment(5.0, False)
 
@@ -77,7 +77,9 @@
 def test_no_order_of_the_holder_comes_after_others_stop_keeping_away():
     # Heard at 0 at the earliest, the last word of ours counts until ECHO.
     granted = detachment.Detachment(0.0, True)
-    assert granted.judge([cut(0.0)], False, detachment.ECHO_SECONDS).is_granted
-    late = detachment.ECHO_SECONDS + 0.01
+    assert granted.judge(
+        [cut(0.0)], False, detachment.STATUS_LIFETIME_SECONDS
+    ).is_granted
+    late = detachment.STATUS_LIFETIME_SECONDS + 0.01
     assert not granted.judge([cut(0.0)], False, late).is_granted
     assert late < detachment.HOLD_OFF_SECONDS
--- a/tests/decisions/test_fanout.py
+++ b/tests/decisions/test_fanout.py
@@ -22,7 +22,7 @@
 def test_everybody_is_reached_exactly_once(sizes, seed):
     peers = fleet(sizes)
     branches = fanout.plan(peers, random.Random(seed))
-    reached = [a for b in branches for a in (b.head, *b.others)]
+    reached = [a for b in branches for a in (b.relay, *b.recipients)]
     assert sorted(reached) == sorted(p.address for p in peers)
 
 
@@ -33,21 +33,21 @@
     peers = fleet(sizes)
     halls = {p.address: p.data_hall for p in peers}
     for branch in fanout.plan(peers, random.Random(seed)):
-        assert len(branch.others) <= fanout.BRANCH
-        assert all(halls[a] == halls[branch.head] for a in branch.others)
+        assert len(branch.recipients) <= fanout.MAX_RELAY_RECIPIENTS
+        assert all(halls[a] == halls[branch.relay] for a in branch.recipients)
 
 
 def test_small_fleet_is_told_directly():
     branches = fanout.plan(fleet([5, 4]), random.Random(1))
     assert len(branches) == 9
-    assert not any(b.others for b in branches)
+    assert not any(b.recipients for b in branches)
 
 
 def test_heads_change_from_one_statement_to_the_next():
     peers = fleet([30, 30, 30])
     rng = random.Random(5)
     heads = [
-        frozenset(b.head for b in fanout.plan(peers, rng)) for _ in range(5)
+        frozenset(b.relay for b in fanout.plan(peers, rng)) for _ in range(5)
     ]
     assert len(set(heads)) == 5
     assert all(len(h) == 9 for h in heads)
--- a/tests/decisions/test_loading.py
+++ b/tests/decisions/test_loading.py
@@ -21,7 +21,7 @@
 def make_engine(name, *models, **fields):
     values = {
         "models": frozenset(models),
-        "coming": {},
+        "pending_loads": {},
         "charged_mb": 70.0 * len(models),
         "adapters_mb": {},
         "is_free": True,
@@ -89,7 +89,7 @@
     pool = make_pool("a", "b", "c")
     engines = [
         make_engine("e1", "a", "b"),
-        make_engine("e2", "b", coming={"a": 9.0}, is_free=False),
+        make_engine("e2", "b", pending_loads={"a": 9.0}, is_free=False),
     ]
     step = plan(engines, pool, {"a": asked(5), "b": asked(3), "c": asked(0.5)})
     assert step is None or "a" not in step.victims
@@ -99,7 +99,7 @@
     pool = make_pool("a", "b", "c")
     engines = [
         make_engine("e1", "a"),
-        make_engine("e2", coming={"c": 2.0}, is_free=False),
+        make_engine("e2", pending_loads={"c": 2.0}, is_free=False),
     ]
     assert plan(engines, pool, {"c": asked(0.3)}) is None
 
@@ -108,7 +108,7 @@
     pool = make_pool("a", "b", "c")
     engines = [
         make_engine("e1", "a", in_memory=frozenset({"c"})),
-        make_engine("e2", coming={"c": 9.0}, is_free=False),
+        make_engine("e2", pending_loads={"c": 9.0}, is_free=False),
     ]
     assert plan(engines, pool, {"c": asked(2)}).engine == "e1"
 
@@ -226,16 +226,16 @@
     for number in range(rng.randint(1, 15)):
         held = rng.sample(names, rng.randint(0, 3))
         others = [n for n in names if n not in held]
-        coming = rng.sample(others, 1) if rng.random() < 0.2 else []
+        pending_loads = rng.sample(others, 1) if rng.random() < 0.2 else []
         near = rng.sample(names, 3)
         name = f"e{number}"
         engines[name] = copies.Engine(
             name,
             frozenset(held),
-            {m: rng.uniform(0, 9) for m in coming},
-            sum(models[m].weights_mb for m in [*held, *coming]),
+            {m: rng.uniform(0, 9) for m in pending_loads},
+            sum(models[m].weights_mb for m in [*held, *pending_loads]),
             dict.fromkeys(held, 2.0),
-            not coming and rng.random() < 0.8,
+            not pending_loads and rng.random() < 0.8,
             fresh=frozenset(held[:1] if rng.random() < 0.3 else ()),
             in_memory=frozenset(near[:1]),
             on_disk=frozenset(near),
@@ -360,12 +360,12 @@
     demand = {"a": asked(8, 0.4)}
     other = make_engine("e2", "b", on_disk=frozenset({"a"}))
     assert plan([make_engine("e1", "a"), other], pool, demand) is None
-    resting = make_engine("e1", "a", rest=9.0)
+    resting = make_engine("e1", "a", backoff=9.0)
     step = plan([resting, other], pool, demand)
     assert (step.engine, step.model) == ("e2", "a")
 
 
-@pytest.mark.parametrize("need", [{"limit": 1.0}, {"rest": 2.0}])
+@pytest.mark.parametrize("need", [{"limit": 1.0}, {"backoff": 2.0}])
 def test_engine_in_need_is_loaded_only_where_no_other_can_be(need):
     pool = make_pool("a", "b", "c")
     in_need = make_engine("e1", **need)
--- a/tests/decisions/test_selection.py
+++ b/tests/decisions/test_selection.py
@@ -52,9 +52,9 @@
 
 
 def test_condition_rests_longer_with_every_miss_and_forgives():
-    state = condition.Condition().miss(10.0)
+    state = condition.Condition().note_unreachable(10.0)
     first = state.rests_until - 10.0
-    state = state.miss(11.0)
+    state = state.note_unreachable(11.0)
     assert state.rests_until - 11.0 == 2 * first
     state = state.note(False, 12.0)
     assert not state.is_backing_off(12.0)
@@ -64,8 +64,8 @@
     state = condition.Condition()
     for second in range(10):
         state = state.note(True, float(second))
-    assert state.failing(9.0) > 0.3
-    assert state.failing(30.0) < 0.02
+    assert state.failure_rate(9.0) > 0.3
+    assert state.failure_rate(30.0) < 0.02
 
 
 def test_repeats_keep_to_the_ratio_and_a_part_of_the_slack():
--- a/tests/gateway/test_adapters.py
+++ b/tests/gateway/test_adapters.py
@@ -49,7 +49,7 @@
 def test_adapter_is_not_loaded_ahead_on_an_engine_that_names_a_limit():
     # Its orders and reports take the places that requests need.
     words = endpoint_notices_module.EndpointNotices()
-    start = test_order_sender.make_book("m1").endpoint.start
+    start = test_order_sender.make_book("m1").endpoint.incarnation
     words.note_limit(start, 1.0, 0.0)
     assert fill(110.0, words) == 0
     words.note_limit(start, None, float("inf"))
--- a/tests/gateway/test_order_sender.py
+++ b/tests/gateway/test_order_sender.py
@@ -149,14 +149,16 @@
 
 
 def test_adapters_on_their_way_take_places_and_can_not_be_removed():
-    tracked_engine = make_known_book(1, "m1", coming=frozenset({("m1", "a7")}))
+    tracked_engine = make_known_book(
+        1, "m1", pending_loads=frozenset({("m1", "a7")})
+    )
     assert ("m1", "a7") in tracked_engine.charged()
     assert tracked_engine.removable() == {M1}
 
 
 def test_answer_that_an_adapter_is_unloaded_is_believed_of_what_was_there():
     a7 = ("m1", "a7")
-    tracked_engine = make_known_book(1, "m1", coming=frozenset({a7}))
+    tracked_engine = make_known_book(1, "m1", pending_loads=frozenset({a7}))
     tracked_engine.note_dropped(unload(1, a7), NOW)
     assert not tracked_engine.is_certain
     assert a7 in tracked_engine.charged()
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -321,13 +321,13 @@
     engine = await system.add("e1", "models", ["m1"], stream_whole)
     tracked = system.gateway.view.tracked["e1"]
     # The route's target is 0.8 s, its priority 1; more urgent prompts wait.
-    tracked.unread = backlog.at(0, 3.0)
+    tracked.unread = backlog.of_request(0, 3.0)
     answer = await ask_model(system, "r1")
     assert answer.status == 503
     assert 2.0 < float(answer.headers["retry-after"]) < 3.0
     assert not engine.received
     # What waits at a lower priority does not count.
-    tracked.unread = backlog.at(3, 3.0)
+    tracked.unread = backlog.of_request(3, 3.0)
     assert (await ask_model(system, "r2")).status == 200
 
 
