--- a/src/wayslip/decisions/access.py
+++ b/src/wayslip/decisions/access.py
@@ -40,7 +40,7 @@
     manifest: manifest_module.Manifest,
     route: manifest_module.Route,
     key: bytes | None,
-    sight: ConfigurationStatus,
+    status: ConfigurationStatus,
 ) -> tuple[Verdict, organisations.Organisation | None]:
     """Returns what a request's key is worth, and whose it is.
 
@@ -48,15 +48,15 @@
         manifest: In force.
         route: Of the request.
         key: Digest of what it carries, None without one.
-        sight: Of the configuration.
+        status: Of the configuration.
     """
     if not manifest.organisations:
         return Verdict.ALLOWED, None
-    caller = manifest.find_caller(key) if sight.is_reliable else None
+    caller = manifest.find_caller(key) if status.is_reliable else None
     if route.is_public or caller is not None:
         return Verdict.ALLOWED, caller
-    if not sight.is_reliable:
+    if not status.is_reliable:
         return Verdict.UNCONFIRMED, None
-    if not sight.is_newest:
+    if not status.is_newest:
         return Verdict.OLD_CONFIGURATION, None
     return Verdict.UNKNOWN_KEY, None
--- a/src/wayslip/decisions/admission.py
+++ b/src/wayslip/decisions/admission.py
@@ -11,10 +11,10 @@
 from wayslip import registry
 from wayslip import settings
 
-_MIN_RETRY_AFTER = 0.5
+_MIN_RETRY_AFTER_SECONDS = 0.5
 # A prediction is uncertain; refusing at once what it puts just past the target
 # loses more than it saves. Measured, see docs/design/measuring-decisions.md.
-SLACK = 1.3
+TARGET_TOLERANCE = 1.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -112,7 +112,7 @@
             load,
         )
     target = rules.target
-    if load.predicted <= min(SLACK * target, load.seconds_left):
+    if load.predicted <= min(TARGET_TOLERANCE * target, load.seconds_left):
         return None
     return _refuse(
         refusals.Reason.TARGET_UNREACHABLE,
@@ -126,7 +126,7 @@
 def _refuse(
     reason: refusals.Reason, detail: str, load: Load, wait: float = 0.0
 ) -> refusals.Refusal:
-    retry_after = max(wait, load.predicted / 2, _MIN_RETRY_AFTER)
+    retry_after = max(wait, load.predicted / 2, _MIN_RETRY_AFTER_SECONDS)
     return refusals.Refusal(
         reason, f"{detail}; come back after Retry-After", retry_after
     )
--- a/src/wayslip/decisions/budget.py
+++ b/src/wayslip/decisions/budget.py
@@ -9,7 +9,7 @@
 import dataclasses
 
 # Kept back, because windows slide and instances are counted late.
-_MARGIN = 0.7
+_SAFETY_FACTOR = 0.7
 
 
 @dataclasses.dataclass(frozen=True)
@@ -33,12 +33,12 @@
     def __init__(self, terms: Terms) -> None:
         self._terms = terms
         self._requests: collections.deque[float] = collections.deque()
-        self._repeats: collections.deque[float] = collections.deque()
+        self._retries: collections.deque[float] = collections.deque()
 
     def note_request(self, now: float) -> None:
         """Counts a request."""
         self._requests.append(now)
-        self._forget(now)
+        self._drop_expired(now)
 
     def take(self, now: float, instances: int) -> bool:
         """Takes a repeat; returns whether there was one.
@@ -47,16 +47,16 @@
             now: Steady seconds.
             instances: Instances that share the slack.
         """
-        self._forget(now)
+        self._drop_expired(now)
         allowed = len(self._requests) * self._terms.ratio
         allowed += self._terms.slack / max(instances, 1)
-        if len(self._repeats) + 1 > allowed * _MARGIN:
+        if len(self._retries) + 1 > allowed * _SAFETY_FACTOR:
             return False
-        self._repeats.append(now)
+        self._retries.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         limit = now - self._terms.window
-        for times in (self._requests, self._repeats):
+        for times in (self._requests, self._retries):
             while times and times[0] < limit:
                 times.popleft()
--- a/src/wayslip/decisions/condition.py
+++ b/src/wayslip/decisions/condition.py
@@ -10,11 +10,11 @@
 _WEIGHT = 0.12
 # Rest after the first failure that kept an endpoint from being reached; it
 # doubles with each further one.
-_FIRST_REST = 0.25
-_LONGEST_REST = 4.0
+_FIRST_BACKOFF_SECONDS = 0.25
+_MAX_BACKOFF_SECONDS = 4.0
 # A rate falls to half in this time without answers, so that an endpoint that
 # was avoided is tried again.
-_HALF_LIFE = 3.0
+_HALF_LIFE_SECONDS = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,7 +35,7 @@
 
     def failure_rate(self, now: float) -> float:
         """Returns the share of failures that is expected now."""
-        return self.rate * 0.5 ** (max(now - self.at, 0.0) / _HALF_LIFE)
+        return self.rate * 0.5 ** (max(now - self.at, 0.0) / _HALF_LIFE_SECONDS)
 
     def note(self, is_failure: bool, now: float) -> "Condition":
         """Returns the condition after an answer."""
@@ -48,9 +48,11 @@
 
     def note_unreachable(self, now: float) -> "Condition":
         """Returns the condition after it was not reached or broke off."""
-        rest = min(_FIRST_REST * 2**self.misses, _LONGEST_REST)
+        backoff = min(
+            _FIRST_BACKOFF_SECONDS * 2**self.misses, _MAX_BACKOFF_SECONDS
+        )
         rate = self.failure_rate(now) * (1 - _WEIGHT) + _WEIGHT
-        return Condition(rate, now, self.misses + 1, now + rest)
+        return Condition(rate, now, self.misses + 1, now + backoff)
 
     def is_backing_off(self, now: float) -> bool:
         """Whether it should not be used now."""
--- a/src/wayslip/decisions/configuration.py
+++ b/src/wayslip/decisions/configuration.py
@@ -15,8 +15,8 @@
 
 from wayslip import errors
 
-_APPLIED_KEPT = 256
-_TOMBSTONES_KEPT = 1024
+_MAX_APPLIED = 256
+_MAX_TOMBSTONES = 1024
 
 Name = Annotated[str, pydantic.Field(pattern=r"^[A-Za-z0-9][A-Za-z0-9._-]*$")]
 ItemName = Annotated[str, pydantic.Field(min_length=1, max_length=256)]
@@ -247,7 +247,7 @@
         entries, floor = _drop_old_tombstones(merged.values(), self.floor)
         applied = (*self.applied, Applied(plan, operator, generation))
         return Configuration(
-            generation, entries, applied[-_APPLIED_KEPT:], floor
+            generation, entries, applied[-_MAX_APPLIED:], floor
         )
 
     def delta(self, since: int) -> Delta:
@@ -285,10 +285,10 @@
     entries: Iterable[Entry], floor: int
 ) -> tuple[tuple[Entry, ...], int]:
     ordered = sorted(entries, key=lambda e: e.id)
-    dead = sorted(e.generation for e in ordered if e.value is None)
-    if len(dead) <= _TOMBSTONES_KEPT:
+    tombstones = sorted(e.generation for e in ordered if e.value is None)
+    if len(tombstones) <= _MAX_TOMBSTONES:
         return tuple(ordered), floor
-    floor = dead[-_TOMBSTONES_KEPT]
+    floor = tombstones[-_MAX_TOMBSTONES]
     kept = (e for e in ordered if e.value is not None or e.generation >= floor)
     return tuple(kept), floor
 
--- a/src/wayslip/decisions/copies.py
+++ b/src/wayslip/decisions/copies.py
@@ -21,23 +21,23 @@
 MAX_READING_SHARE = 0.45
 # Part of the worth of a request that is saved where an engine is not busier
 # than that: a late answer earns a half at one user and a tenth at the other.
-SPREAD_WORTH = 0.3
+LATE_WORK_VALUE = 0.3
 # The same of what engines can not read at all, because more comes than they
 # read: their queue grows, and requests are refused or run out of time.
-OVERLOAD_WORTH = 0.9
+LOST_WORK_VALUE = 0.9
 # What the only copy of a model without demand is worth, requests a second:
 # somebody may ask for it, and a load takes seconds.
-RESERVE = 0.03
+IDLE_COPY_RATE = 0.03
 # What an engine loses by being busy with a load, requests a second, besides
 # its adapters: another model may be wanted more a moment later.
-BUSY_LOSS = 0.12
+LOAD_LOSS_RATE = 0.12
 # What it loses more where all other engines are busy too, as a share of the
 # requests that an engine gets on average: demand moves to a model that is
 # nowhere, and no engine is free to take it in. Without it, loads of six seconds
 # for single requests kept all engines busy: worth of a user with 6 engines and
 # 26 models 0.424 without and 0.452 with it, +0.028 +- 0.013, paired over 10
 # runs of five days.
-MOVING_LOSS = 0.6
+LOAD_LOSS_SHARE = 0.6
 # A loaded model is not taken away for this long, so that the requests it was
 # loaded for can come back for it.
 MIN_RESIDENT_SECONDS = 4.0
@@ -111,17 +111,17 @@
     Attributes:
         held: Engines that hold it.
         pending_loads: Engines that load it.
-        arrival: Seconds until the first of those can serve.
+        load_seconds: Seconds until the first of those can serve.
     """
 
     held: tuple[str, ...] = ()
     pending_loads: int = 0
-    arrival: float = HORIZON_SECONDS
+    load_seconds: float = HORIZON_SECONDS
 
     @property
-    def soonest(self) -> float:
+    def ready_seconds(self) -> float:
         """Seconds until it can serve somewhere."""
-        return 0.0 if self.held else self.arrival
+        return 0.0 if self.held else self.load_seconds
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -129,7 +129,7 @@
     """What one more copy of a model is wanted for.
 
     Attributes:
-        soonest: Seconds until the model can serve somewhere.
+        ready_seconds: Seconds until the model can serve somewhere.
         rate: Requests a second.
         unserved: Requests that a first copy gains besides.
         late: Work that its engines do late, seconds a second.
@@ -137,7 +137,7 @@
         requests: How many requests a second of work is.
     """
 
-    soonest: float
+    ready_seconds: float
     rate: float
     unserved: float
     late: float
@@ -151,12 +151,16 @@
             seconds: When it can serve.
             spare: Work that its engine has time for.
         """
-        gain = max(self.soonest - seconds, 0.0) * self.rate + self.unserved
+        gain = (
+            max(self.ready_seconds - seconds, 0.0) * self.rate + self.unserved
+        )
         lost = min(self.lost, spare)
         late = min(self.late, spare - lost)
-        saved = (lost * OVERLOAD_WORTH + late * SPREAD_WORTH) * self.requests
+        saved = (
+            lost * LOST_WORK_VALUE + late * LATE_WORK_VALUE
+        ) * self.requests
         return gain + saved * max(
-            HORIZON_SECONDS - max(seconds, self.soonest), 0.0
+            HORIZON_SECONDS - max(seconds, self.ready_seconds), 0.0
         )
 
 
@@ -217,19 +221,19 @@
         )
         busy = sum(not engine.is_free for engine in self.engines.values())
         share = busy / max(count - 1, 1)
-        return BUSY_LOSS + MOVING_LOSS * served / max(count, 1) * share
+        return LOAD_LOSS_RATE + LOAD_LOSS_SHARE * served / max(count, 1) * share
 
     def demand(self, model: str) -> Demand:
         """Returns the demand for a model."""
         return self._demand.get(model, _NO_DEMAND)
 
-    def _part(self, model: str) -> float:
+    def _work_per_copy(self, model: str) -> float:
         """Returns the work of a model on each engine that holds it."""
         copies = self.copies.get(model, Copies())
         return self.demand(model).work / max(len(copies.held), 1)
 
     def _sum_work(self, engine: Engine) -> float:
-        return sum(self._part(m) for m in engine.models)
+        return sum(self._work_per_copy(m) for m in engine.models)
 
     def _find_capacity(self, engine: Engine) -> float:
         """Returns the part of the horizon that an engine serves in."""
@@ -248,16 +252,18 @@
 
     def _sum_excess(self, model: str) -> tuple[float, float]:
         """Returns the work that its engines do late, and can not do at all."""
-        part = self._part(model)
+        work = self._work_per_copy(model)
         late = lost = 0.0
         for name in self.copies[model].held:
             busy = self._busy[name]
-            most = self._capacity[name]
-            if busy > MAX_READING_SHARE * most:
+            capacity = self._capacity[name]
+            if busy > MAX_READING_SHARE * capacity:
                 late += (
-                    part * (min(busy, most) - MAX_READING_SHARE * most) / busy
+                    work
+                    * (min(busy, capacity) - MAX_READING_SHARE * capacity)
+                    / busy
                 )
-                lost += part * max(busy - most, 0.0) / busy
+                lost += work * max(busy - capacity, 0.0) / busy
         return late, lost
 
     def _count_requests(self, model: str, work: float) -> float:
@@ -269,13 +275,13 @@
         """Returns what one more copy of a model is wanted for."""
         copies = self.copies[model]
         asked = self.demand(model)
-        is_nowhere = not copies.held and not copies.pending_loads
+        is_absent = not copies.held and not copies.pending_loads
         # Copies on their way will take a part of what is too much now.
         late, lost = self._sum_excess(model)
         return CopyValue(
-            soonest=copies.soonest,
+            ready_seconds=copies.ready_seconds,
             rate=asked.rate,
-            unserved=asked.unserved if is_nowhere else 0.0,
+            unserved=asked.unserved if is_absent else 0.0,
             late=late / (1 + copies.pending_loads),
             lost=lost / (1 + copies.pending_loads),
             requests=asked.rate / asked.work if asked.work else 0.0,
@@ -293,10 +299,12 @@
             free = [e for e in self.engines.values() if e.is_free]
             able = [e for e in free if not e.is_constrained] or free
             rooms = {e.name: self._make_room(e, weights_mb) for e in able}
-            made = {n: room for n, room in rooms.items() if room is not None}
-            names = sorted(made, key=lambda name: made[name].loss)
+            possible = {
+                n: room for n, room in rooms.items() if room is not None
+            }
+            names = sorted(possible, key=lambda name: possible[name].loss)
             known = [self.engines[name] for name in names]
-            self._rooms[weights_mb] = made
+            self._rooms[weights_mb] = possible
             self._free[weights_mb] = known
         return known
 
@@ -338,10 +346,12 @@
         if len(copies.held) <= 1:
             # What was loaded because of requests in vain stays until one of
             # them has come back for it.
-            return (rate + RESERVE) * copies.arrival + asked.unserved
+            return (
+                rate + IDLE_COPY_RATE
+            ) * copies.load_seconds + asked.unserved
         others = sum(self.spare[n] for n in copies.held if n != engine)
-        moved = max(self._part(model) - others, 0.0)
-        late = self._count_requests(model, moved) * SPREAD_WORTH
+        moved = max(self._work_per_copy(model) - others, 0.0)
+        late = self._count_requests(model, moved) * LATE_WORK_VALUE
         return (late + 0.02 * rate) * HORIZON_SECONDS
 
 
--- a/src/wayslip/decisions/detachment.py
+++ b/src/wayslip/decisions/detachment.py
@@ -28,9 +28,9 @@
 MISSING_SECONDS = 4.0
 # An order that was decided on an instance's word may still leave and travel,
 # seconds.
-_ON_ITS_WAY = 0.5
+_ORDER_TRANSIT_SECONDS = 0.5
 # How long after a detached holder was last heard it may still order, seconds.
-HOLD_OFF_SECONDS = STATUS_LIFETIME_SECONDS + _ON_ITS_WAY
+HOLD_OFF_SECONDS = STATUS_LIFETIME_SECONDS + _ORDER_TRANSIT_SECONDS
 
 
 def make_stamp(now: float) -> int:
@@ -83,7 +83,7 @@
 
     def judge(
         self,
-        words: Iterable[PeerStatus],
+        statuses: Iterable[PeerStatus],
         has_missing_instance: bool,
         now: float,
     ) -> "Detachment":
@@ -94,11 +94,11 @@
         word of that one is enough to go on.
 
         Args:
-            words: One of every other instance that runs.
+            statuses: One of every other instance that runs.
             has_missing_instance: Whether one fell silent without saying why.
             now: Steady seconds.
         """
-        known = list(words)
+        known = list(statuses)
         if has_missing_instance:
             return NONE
         since = None
--- a/src/wayslip/decisions/facts.py
+++ b/src/wayslip/decisions/facts.py
@@ -55,7 +55,7 @@
 
     def merge(self, facts: Iterable[Fact], now: float) -> tuple[Fact, ...]:
         """Takes facts in and returns those that were news."""
-        news = []
+        added = []
         for fact in facts:
             known = self._facts.get(fact.id)
             if known is not None and known[0].at >= fact.at:
@@ -63,8 +63,8 @@
             if known is None and len(self._facts) >= self._limit:
                 continue
             self._facts[fact.id] = (fact, now)
-            news.append(fact)
-        return tuple(news)
+            added.append(fact)
+        return tuple(added)
 
     def expire(self, now: float) -> None:
         """Drops facts past their lifetime."""
--- a/src/wayslip/decisions/freshness.py
+++ b/src/wayslip/decisions/freshness.py
@@ -14,10 +14,10 @@
 # before its history goes; its word may be older by so much, seconds.
 MAX_WATCH_LAG_SECONDS = 1.0
 # Between the check of a key and the request's leaving, seconds.
-_ON_ITS_WAY = 0.1
+_SEND_DELAY_SECONDS = 0.1
 # Share of the bound at which another confirmation is asked for. The rest is
 # for attempts: of 5 s, 1.9 s are left before the configuration has lapsed.
-_ASK_SHARE = 0.4
+_CONFIRM_SHARE = 0.4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -67,11 +67,11 @@
             return True
         return (
             now - self.proven_at
-            < self.bound - MAX_WATCH_LAG_SECONDS - _ON_ITS_WAY
+            < self.bound - MAX_WATCH_LAG_SECONDS - _SEND_DELAY_SECONDS
         )
 
     def is_due(self, now: float) -> bool:
         """Whether another confirmation should be asked for."""
         if self.bound is None:
             return False
-        return now - self.proven_at > self.bound * _ASK_SHARE
+        return now - self.proven_at > self.bound * _CONFIRM_SHARE
--- a/src/wayslip/decisions/inventory.py
+++ b/src/wayslip/decisions/inventory.py
@@ -55,12 +55,12 @@
         lacks them.
         """
         model, adapter = item
-        gone = {i for i in self.items if i[0] == model and not adapter}
+        dropped = {i for i in self.items if i[0] == model and not adapter}
         return Inventory(
             self.orders + 1,
             self.items,
             self.loading,
-            self.unloading | gone | {item},
+            self.unloading | dropped | {item},
         )
 
     def drop(self, item: fleet.Item) -> "Inventory":
--- a/tests/decisions/test_access.py
+++ b/tests/decisions/test_access.py
@@ -6,7 +6,7 @@
 
 KEY = organisations.hash_key(b"k1")
 SHOP = organisations.Organisation("shop", (KEY,))
-SURE = access.ConfigurationStatus(True, True)
+CURRENT = access.ConfigurationStatus(True, True)
 
 
 def make_route(is_public=False):
@@ -28,9 +28,9 @@
 
 
 @pytest.mark.parametrize(
-    ("key", "is_public", "sight", "verdict", "caller"),
+    ("key", "is_public", "status", "verdict", "caller"),
     [
-        (KEY, False, SURE, access.Verdict.ALLOWED, SHOP),
+        (KEY, False, CURRENT, access.Verdict.ALLOWED, SHOP),
         (
             KEY,
             False,
@@ -38,8 +38,8 @@
             access.Verdict.ALLOWED,
             SHOP,
         ),
-        (None, False, SURE, access.Verdict.UNKNOWN_KEY, None),
-        (b"other", False, SURE, access.Verdict.UNKNOWN_KEY, None),
+        (None, False, CURRENT, access.Verdict.UNKNOWN_KEY, None),
+        (b"other", False, CURRENT, access.Verdict.UNKNOWN_KEY, None),
         (
             b"other",
             False,
@@ -68,7 +68,7 @@
             access.Verdict.ALLOWED,
             None,
         ),
-        (KEY, True, SURE, access.Verdict.ALLOWED, SHOP),
+        (KEY, True, CURRENT, access.Verdict.ALLOWED, SHOP),
         (
             KEY,
             True,
@@ -78,12 +78,14 @@
         ),
     ],
 )
-def test_key_is_judged(key, is_public, sight, verdict, caller):
-    found = access.judge(make_manifest(SHOP), make_route(is_public), key, sight)
+def test_judge_of_a_key(key, is_public, status, verdict, caller):
+    found = access.judge(
+        make_manifest(SHOP), make_route(is_public), key, status
+    )
     assert found == (verdict, caller)
 
 
-def test_without_organisations_nobody_needs_a_key():
+def test_no_key_is_needed_without_organisations():
     found = access.judge(
         make_manifest(),
         make_route(),
--- a/tests/decisions/test_backlog.py
+++ b/tests/decisions/test_backlog.py
@@ -21,7 +21,7 @@
 
 
 @given(LEVELS, LEVELS)
-def test_what_was_added_can_be_taken_away(first, second):
+def test_subtract_undoes_add(first, second):
     whole = backlog.add(first, second)
     left = backlog.subtract(whole, second)
     assert sum(left) == pytest.approx(sum(first), abs=0.01)
@@ -36,6 +36,6 @@
     assert waits == sorted(waits)
 
 
-def test_priorities_beyond_the_last_are_the_last():
+def test_priorities_are_clamped():
     assert len(backlog.of_request(99, 1.0)) == backlog.PRIORITIES
     assert backlog.of_request(-1, 1.0) == (1.0,)
--- a/tests/decisions/test_contents.py
+++ b/tests/decisions/test_contents.py
@@ -1,21 +1,21 @@
 from wayslip.decisions import contents
 
-USUAL = ("org", "host", b"POST", b"/a?x=1", "m/a", b"body")
+PARTS = ("org", "host", b"POST", b"/a?x=1", "m/a", b"body")
 
 
 def test_same_request_has_the_same_digest():
-    assert contents.make_digest(*USUAL) == contents.make_digest(*USUAL)
+    assert contents.make_digest(*PARTS) == contents.make_digest(*PARTS)
 
 
-def test_each_part_counts():
-    digests = {contents.make_digest(*USUAL)}
-    for n, part in enumerate(USUAL):
+def test_each_part_changes_the_digest():
+    digests = {contents.make_digest(*PARTS)}
+    for n, part in enumerate(PARTS):
         other = part + (b"2" if isinstance(part, bytes) else "2")
-        digests.add(contents.make_digest(*USUAL[:n], other, *USUAL[n + 1 :]))
-    assert len(digests) == len(USUAL) + 1
+        digests.add(contents.make_digest(*PARTS[:n], other, *PARTS[n + 1 :]))
+    assert len(digests) == len(PARTS) + 1
 
 
-def test_parts_do_not_run_into_each_other():
+def test_boundaries_between_parts_change_the_digest():
     first = contents.make_digest("a", "bc", b"", b"", "", b"")
     second = contents.make_digest("ab", "c", b"", b"", "", b"")
     assert first != second
--- a/tests/decisions/test_copy_sources.py
+++ b/tests/decisions/test_copy_sources.py
@@ -7,7 +7,7 @@
 _PEERS = [f"10.0.0.{n}:1" for n in range(400)]
 
 
-def _ask(count):
+def _count_holder_requests(count):
     """Returns how many of a fleet ask the holder first."""
     rng = random.Random(3)
     holder = _PEERS[0]
@@ -18,10 +18,10 @@
     return found.count(holder)
 
 
-def test_holder_is_asked_by_few_whatever_the_size_of_the_fleet():
-    assert _ask(12) == 12
-    assert 10 < _ask(60) < 40
-    assert 10 < _ask(400) < 40
+def test_requests_to_the_holder_do_not_grow_with_the_fleet():
+    assert _count_holder_requests(12) == 12
+    assert 10 < _count_holder_requests(60) < 40
+    assert 10 < _count_holder_requests(400) < 40
 
 
 def test_without_a_holder_or_peers():
@@ -32,7 +32,7 @@
     assert copy_sources.choose_source(None, ["b:1"], rng) == "b:1"
 
 
-def test_copies_leave_half_of_the_link():
+def test_copies_use_half_of_the_link():
     free_at = copy_sources.plan_sending(0.0, 10.0, 50_000, 1_000_000.0)
     assert free_at == 10.1
 
--- a/tests/decisions/test_fanout.py
+++ b/tests/decisions/test_fanout.py
@@ -19,7 +19,7 @@
 @given(
     st.lists(st.integers(0, 120), min_size=1, max_size=10), st.integers(0, 99)
 )
-def test_everybody_is_reached_exactly_once(sizes, seed):
+def test_every_instance_is_reached_exactly_once(sizes, seed):
     peers = fleet(sizes)
     branches = fanout.plan(peers, random.Random(seed))
     reached = [a for b in branches for a in (b.relay, *b.recipients)]
@@ -29,7 +29,7 @@
 @given(
     st.lists(st.integers(0, 120), min_size=1, max_size=10), st.integers(0, 99)
 )
-def test_heads_pass_on_within_their_hall_and_few(sizes, seed):
+def test_relays_forward_to_few_instances_of_their_data_hall(sizes, seed):
     peers = fleet(sizes)
     halls = {p.address: p.data_hall for p in peers}
     for branch in fanout.plan(peers, random.Random(seed)):
@@ -37,17 +37,17 @@
         assert all(halls[a] == halls[branch.relay] for a in branch.recipients)
 
 
-def test_small_fleet_is_told_directly():
+def test_small_fleet_is_reached_without_relays():
     branches = fanout.plan(fleet([5, 4]), random.Random(1))
     assert len(branches) == 9
     assert not any(b.recipients for b in branches)
 
 
-def test_heads_change_from_one_statement_to_the_next():
+def test_relays_change_from_one_message_to_the_next():
     peers = fleet([30, 30, 30])
     rng = random.Random(5)
-    heads = [
+    relays = [
         frozenset(b.relay for b in fanout.plan(peers, rng)) for _ in range(5)
     ]
-    assert len(set(heads)) == 5
-    assert all(len(h) == 9 for h in heads)
+    assert len(set(relays)) == 5
+    assert all(len(h) == 9 for h in relays)
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -10,7 +10,7 @@
     return freshness.Freshness(BOUND, **fields)
 
 
-def test_nothing_is_relied_on_before_a_confirmation():
+def test_nothing_is_reliable_before_a_confirmation():
     assert not make().is_reliable(0.0)
 
 
@@ -20,17 +20,17 @@
     assert not known.is_reliable(104.0)
 
 
-def test_old_word_does_not_shorten_newer_word():
+def test_older_confirmation_does_not_replace_a_newer_one():
     known = make(held=3).confirm(3, 100.0).confirm(3, 90.0)
     assert known.is_reliable(103.8)
 
 
-def test_word_of_an_older_version_proves_what_came_after_it():
+def test_confirmation_of_an_older_version_confirms_a_later_one():
     known = make(held=5).confirm(3, 100.0)
     assert known.is_reliable(103.8)
 
 
-def test_word_of_a_newer_version_proves_nothing_of_ours_until_it_is_held():
+def test_confirmation_of_a_newer_version_counts_once_it_is_held():
     known = make(held=3).confirm(3, 100.0).confirm(4, 103.0)
     # What was known of version 3 stays true.
     assert known.is_reliable(103.8)
@@ -38,7 +38,7 @@
     assert known.hold(4).is_reliable(104.5)
 
 
-def test_a_bound_that_is_not_set_never_lapses():
+def test_without_a_bound_the_configuration_is_always_reliable():
     assert freshness.Freshness(None).is_reliable(1e9)
 
 
@@ -51,7 +51,7 @@
         max_size=60,
     )
 )
-def test_no_version_is_relied_on_once_it_was_replaced_for_the_bound(steps):
+def test_no_version_is_reliable_after_being_replaced_for_the_bound(steps):
     """One instance among changes, reads, word of a peer and pauses.
 
     A read shows the newest when it is sent; its answer may come much later.
