--- a/src/wayslip/decisions/__init__.py
+++ b/src/wayslip/decisions/__init__.py
@@ -1,5 +1,5 @@
-"""Pure decisions: frozen values in, frozen values out.
+"""Decisions as pure functions of immutable values.
 
-Nothing here opens a socket, reads a clock, draws from a global random source
-or starts a thread, so all of it can be fuzzed and measured alone.
+Nothing here opens a socket, reads a clock, uses a global random generator or
+starts a thread, so each module can be fuzzed and benchmarked in isolation.
 """
--- a/src/wayslip/decisions/access.py
+++ b/src/wayslip/decisions/access.py
@@ -1,4 +1,4 @@
-"""Whether a request's key lets it in."""
+"""Authorization of requests by their API keys."""
 
 import dataclasses
 import enum
@@ -8,12 +8,15 @@
 
 
 class Verdict(enum.StrEnum):
-    """What a key is worth now.
+    """The result of checking a key.
 
     Attributes:
+        ALLOWED: The request may run.
         UNKNOWN_KEY: The newest configuration has no such key; final.
-        OLD_CONFIGURATION: A newer one that may have the key can be there.
-        UNCONFIRMED: Ours may hold keys that were taken away too long ago.
+        OLD_CONFIGURATION: The configuration in force has no such key, but a
+            newer one, which may have it, can exist.
+        UNCONFIRMED: The configuration in force is too old to rely on; its
+            keys may have been revoked.
     """
 
     ALLOWED = "allowed"
@@ -24,11 +27,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationStatus:
-    """What is known of the configuration in force.
+    """How current the configuration in force is.
 
     Attributes:
-        is_reliable: Whether keys that it holds may be relied on; see
-            `freshness`.
+        is_reliable: Whether its keys may still be accepted; see `freshness`.
         is_newest: Whether it is known to be the newest.
     """
 
@@ -42,13 +44,18 @@
     key: bytes | None,
     status: ConfigurationStatus,
 ) -> tuple[Verdict, organisations.Organisation | None]:
-    """Returns what a request's key is worth, and whose it is.
+    """Checks a request's key.
+
+    Without organisations in the manifest, every request is allowed.
 
     Args:
-        manifest: In force.
-        route: Of the request.
-        key: Digest of what it carries, None without one.
-        status: Of the configuration.
+        manifest: The configuration in force.
+        route: The request's route.
+        key: Digest of the request's key, None if it carries none.
+        status: How current the configuration is.
+
+    Returns:
+        The verdict, and the organisation that owns the key, None if unknown.
     """
     if not manifest.organisations:
         return Verdict.ALLOWED, None
--- a/src/wayslip/decisions/admission.py
+++ b/src/wayslip/decisions/admission.py
@@ -1,7 +1,7 @@
-"""Whether a request starts now or is refused at once.
+"""Admission control: whether a request starts now or is refused at once.
 
-A refused request never started, so the answer `not-run` is true, and it comes
-early with a time to come back rather than late.
+A refused request never started, so it can be answered `not-run`. The refusal
+is sent immediately with a time for the next try, instead of after a wait.
 """
 
 import dataclasses
@@ -12,23 +12,24 @@
 from wayslip import settings
 
 _MIN_RETRY_AFTER_SECONDS = 0.5
-# A prediction is uncertain; refusing at once what it puts just past the target
-# loses more than it saves. Measured, see docs/design/measuring-decisions.md.
+# Predicted times up to this multiple of the target are admitted. Predictions
+# are uncertain, and refusing requests that are predicted just past the target
+# loses more than it saves; see docs/design/measuring-decisions.md.
 TARGET_TOLERANCE = 1.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What an entry has in flight.
+    """The load that a request meets at an entry.
 
     Attributes:
-        total: Requests of all callers.
-        caller: Requests of the request's caller.
-        endpoint: Requests at the chosen endpoint.
+        total: Requests in flight of all callers.
+        caller: Requests in flight of the request's caller.
+        endpoint: Requests in flight at the chosen endpoint.
         entries: Live entries, which share each caller's limit.
-        predicted: Predicted seconds to the first token there.
-        occupancy: Part of the endpoint's batch that is taken.
+        predicted: Predicted seconds to the first token at the endpoint.
         seconds_left: Seconds until the deadline.
+        occupancy: Share of the endpoint's batch that is in use.
     """
 
     total: int
@@ -49,17 +50,17 @@
         caller: settings.Caller,
         limits: settings.Admission,
     ) -> refusals.Refusal | None:
-        """Returns the refusal of a request, None where it may start."""
+        """Returns the refusal of a request, None if it may start."""
 
 
 POLICIES: registry.Registry[Policy] = registry.Registry("admission policy")
 
 
 def share_limit(limit: int, entries: int) -> int:
-    """Returns one entry's part of a limit over all entries.
+    """Returns one entry's share of a limit over all entries.
 
-    The balancer's spread is uneven, so each entry gets half as much again as
-    an even part. No write for each request is needed.
+    The load balancer distributes requests unevenly, so each entry gets 1.5
+    times an even share. Entries need not coordinate for each request.
     """
     if entries <= 1:
         return limit
@@ -70,7 +71,7 @@
 def admit_by_limits(
     load: Load, caller: settings.Caller, limits: settings.Admission
 ) -> refusals.Refusal | None:
-    """Refuses what would go over a limit of entry, caller or endpoint."""
+    """Refuses requests over a limit of the entry, caller or endpoint."""
     rules = limits.classes[caller.priority]
     if load.seconds_left <= 0:
         return refusals.Refusal(
@@ -100,7 +101,11 @@
 def admit_by_deadline(
     load: Load, caller: settings.Caller, limits: settings.Admission
 ) -> refusals.Refusal | None:
-    """Refuses by the limits, and what could not meet its target anyway."""
+    """Refuses requests over a limit or predicted to miss their target.
+
+    Classes whose share is below 1 are also refused when the endpoint's batch
+    is full.
+    """
     refusal = admit_by_limits(load, caller, limits)
     if refusal is not None:
         return refusal
@@ -108,7 +113,7 @@
     if rules.share < 1 and load.occupancy >= 1.0:
         return _refuse(
             refusals.Reason.OVERLOADED,
-            "the engines keep their last slots for more urgent classes",
+            "the remaining engine slots are reserved for more urgent classes",
             load,
         )
     target = rules.target
@@ -128,5 +133,5 @@
 ) -> refusals.Refusal:
     retry_after = max(wait, load.predicted / 2, _MIN_RETRY_AFTER_SECONDS)
     return refusals.Refusal(
-        reason, f"{detail}; come back after Retry-After", retry_after
+        reason, f"{detail}; retry after the time in Retry-After", retry_after
     )
--- a/src/wayslip/decisions/budget.py
+++ b/src/wayslip/decisions/budget.py
@@ -1,25 +1,26 @@
-"""The shared budget of repeats, kept without talking for each request.
+"""Retry budget shared by all instances without coordination per request.
 
-Over all instances, repeats within a window may not exceed a ratio of the
-requests plus some slack. Every instance keeps to the ratio of its own
-requests and to its even part of the slack, so the sum keeps to the whole.
+Over all instances, the retries within a window may not exceed a ratio of the
+requests plus some slack. Every instance applies the ratio to its own requests
+and takes an even share of the slack, so the sum stays within the budget.
 """
 
 import collections
 import dataclasses
 
-# Kept back, because windows slide and instances are counted late.
+# Share of the budget that is used. The rest covers sliding windows and changes
+# in the number of instances that are seen late.
 _SAFETY_FACTOR = 0.7
 
 
 @dataclasses.dataclass(frozen=True)
 class Terms:
-    """What the operators allow.
+    """The budget that operators configure.
 
     Attributes:
-        ratio: Repeats for each request.
-        window: Seconds over which both are counted.
-        slack: Repeats on top, over all instances.
+        ratio: Retries allowed for each request.
+        window: Seconds over which requests and retries are counted.
+        slack: Additional retries over all instances.
     """
 
     ratio: float
@@ -28,7 +29,7 @@
 
 
 class Budget:
-    """Repeats of one service at one instance."""
+    """The retry budget of one service at one instance."""
 
     def __init__(self, terms: Terms) -> None:
         self._terms = terms
@@ -41,10 +42,10 @@
         self._drop_expired(now)
 
     def take(self, now: float, instances: int) -> bool:
-        """Takes a repeat; returns whether there was one.
+        """Takes a retry from the budget; returns whether it was allowed.
 
         Args:
-            now: Steady seconds.
+            now: Seconds of a monotonic clock.
             instances: Instances that share the slack.
         """
         self._drop_expired(now)
--- a/src/wayslip/decisions/catalog.py
+++ b/src/wayslip/decisions/catalog.py
@@ -1,4 +1,4 @@
-"""What the names that callers use stand for, drawn from a configuration."""
+"""Resolution of the model and service names of a configuration."""
 
 import dataclasses
 import functools
@@ -9,15 +9,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Target:
-    """What an engine must hold to answer a request, and which engines may.
+    """What an engine must hold to serve a name, and which engines may.
 
     Attributes:
-        name: The name the caller used.
-        model: The model behind it.
+        name: The name that callers use.
+        model: The model that it belongs to.
         items: Items that must be resident, the version first.
         engines: The engines of the model's pool.
-        engine_model: The name to use towards the engine.
-        fallback: The version that answers while `items` are nowhere.
+        engine_model: The model name in requests to the engine.
+        fallback: The version that serves while no engine holds `items`, empty
+            for none.
     """
 
     name: str
@@ -30,7 +31,17 @@
 
 @dataclasses.dataclass(frozen=True)
 class Catalog:
-    """Names resolved against one generation of the configuration."""
+    """Names resolved against one generation of the configuration.
+
+    Attributes:
+        generation: The configuration's generation.
+        targets: Targets by model, version or adapter name.
+        services: Services by name.
+        sizes: Sizes of items, bytes.
+        placements: Planned items by engine.
+        models: Models by name.
+        pools: Pools by name.
+    """
 
     generation: int
     targets: dict[str, Target]
@@ -52,14 +63,14 @@
 
     @functools.cached_property
     def required(self) -> frozenset[str]:
-        """Items that must stay resident somewhere."""
+        """Items that must stay resident on at least one engine."""
         return frozenset(
             item for target in self.targets.values() for item in target.items
         )
 
     @functools.cached_property
     def successors(self) -> dict[str, str]:
-        """For each version that is being replaced, the one that follows it."""
+        """The new version for each version that is being replaced."""
         return {
             target.fallback: target.items[0]
             for target in self.targets.values()
@@ -79,8 +90,8 @@
 def build_catalog(config: configuration.Configuration) -> Catalog:
     """Returns the catalog of a configuration.
 
-    A name whose model or pool is missing is left out; `validate_change` keeps
-    such a configuration from being accepted in the first place.
+    A name whose model or pool is missing is left out. `find_fault` reports
+    such a configuration.
     """
     kinds = configuration.Kind
     models = {m.name: m for m in config.values(kinds.MODEL)}  # type: ignore[union-attr]
@@ -147,7 +158,7 @@
 
 
 def find_fault(config: configuration.Configuration) -> str | None:
-    """Returns what is inconsistent in a configuration, or None."""
+    """Returns the first inconsistency in a configuration, None if none."""
     catalog = build_catalog(config)
     for model in catalog.models.values():
         if model.pool not in catalog.pools:
--- a/src/wayslip/decisions/condition.py
+++ b/src/wayslip/decisions/condition.py
@@ -1,31 +1,33 @@
-"""How well an endpoint answers, judged by its answers alone.
+"""Passive health of an endpoint: its failure rate and back-off.
 
-A health check is priced and says little: some endpoints fail requests while
-their health is good. Shares run from 0 to 1, times are seconds.
+Only answers to requests count. Health checks are charged for and are not
+conclusive: some endpoints pass them and still fail requests. Rates are shares
+from 0 to 1, times are seconds.
 """
 
 import dataclasses
 
-# Weight of the newest answer; the last dozen or so decide.
+# Weight of the newest answer in the moving average; about the last twelve
+# answers determine the rate.
 _WEIGHT = 0.12
-# Rest after the first failure that kept an endpoint from being reached; it
-# doubles with each further one.
+# Back-off after an endpoint was not reached for the first time; it doubles
+# with each consecutive failure.
 _FIRST_BACKOFF_SECONDS = 0.25
 _MAX_BACKOFF_SECONDS = 4.0
-# A rate falls to half in this time without answers, so that an endpoint that
-# was avoided is tried again.
+# Half-life of the failure rate without answers, so that an endpoint that was
+# avoided gets requests again.
 _HALF_LIFE_SECONDS = 3.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Condition:
-    """The condition of one endpoint.
+    """The health of one endpoint as seen in its answers.
 
     Attributes:
-        rate: Share of failures among its last answers.
-        at: When the last answer came.
-        misses: Times in a row that it could not be reached.
-        rests_until: Until when it should not be used.
+        rate: Share of failures among its last answers, at time `at`.
+        at: When the last answer or connection failure was noted.
+        misses: Consecutive failures to reach it.
+        rests_until: End of its back-off; it should not be used before.
     """
 
     rate: float = 0.0
@@ -34,7 +36,7 @@
     rests_until: float = 0.0
 
     def failure_rate(self, now: float) -> float:
-        """Returns the share of failures that is expected now."""
+        """Returns the failure rate, decayed to `now`."""
         return self.rate * 0.5 ** (max(now - self.at, 0.0) / _HALF_LIFE_SECONDS)
 
     def note(self, is_failure: bool, now: float) -> "Condition":
@@ -47,7 +49,7 @@
         )
 
     def note_unreachable(self, now: float) -> "Condition":
-        """Returns the condition after it was not reached or broke off."""
+        """Returns the condition after a failed or broken connection."""
         backoff = min(
             _FIRST_BACKOFF_SECONDS * 2**self.misses, _MAX_BACKOFF_SECONDS
         )
@@ -55,5 +57,5 @@
         return Condition(rate, now, self.misses + 1, now + backoff)
 
     def is_backing_off(self, now: float) -> bool:
-        """Whether it should not be used now."""
+        """Whether the endpoint should not be used now."""
         return now < self.rests_until
