--- a/src/wayslip/decisions/configuration.py
+++ b/src/wayslip/decisions/configuration.py
@@ -1,8 +1,8 @@
-"""The configuration in force: typed entries under one rising generation.
+"""The configuration in force: typed entries with one increasing generation.
 
-Every entry remembers the generation that changed it last, and a deletion is
-kept as a tombstone. So a process at generation G can be brought up to date
-with the entries changed after G alone, whoever it asks.
+Every entry records the generation that last changed it, and a deletion is kept
+as a tombstone. So any process can bring another one at generation G up to date
+by sending only the entries changed after G.
 """
 
 from collections.abc import Iterable
@@ -15,6 +15,7 @@
 
 from wayslip import errors
 
+# Confirmed plans and tombstones that are kept.
 _MAX_APPLIED = 256
 _MAX_TOMBSTONES = 1024
 
@@ -36,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pool:
-    """A model pool: engines that a set of models shares."""
+    """A pool of engines that a set of models shares."""
 
     name: Name
     engines: tuple[Name, ...]
@@ -48,10 +49,10 @@
     """A model that callers name.
 
     Attributes:
-        version: The version that answers to the bare model name.
-        replicas: Replicas wanted when demand says nothing else.
-        fallback: The version that answers until `version` is resident; set
-            by a plan that changes the version, empty otherwise.
+        version: The version that serves requests for the bare model name.
+        replicas: Target number of replicas in the absence of demand data.
+        fallback: The version that serves until `version` is resident; set by
+            a plan that changes the version, empty otherwise.
     """
 
     name: Name
@@ -89,7 +90,7 @@
 
     Attributes:
         endpoints: Names of its endpoints.
-        repeatable: Methods whose calls may be repeated.
+        repeatable: Methods whose calls may be retried.
         requires_key: Whether other methods need an Idempotency-Key.
     """
 
@@ -102,7 +103,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Placement:
-    """What an engine is meant to hold: names of versions and adapters."""
+    """Planned contents of an engine: names of versions and adapters."""
 
     engine: Name
     items: tuple[ItemName, ...]
@@ -132,7 +133,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Entry:
-    """A named value with the generation that changed it last.
+    """A named value with the generation that last changed it.
 
     Attributes:
         value: None for a tombstone.
@@ -151,7 +152,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Applied:
-    """A confirmed plan, found again by its id after a lost answer."""
+    """Record of a confirmed plan.
+
+    A client whose answer was lost finds the result by the plan's id.
+    """
 
     plan: str
     operator: str
@@ -174,12 +178,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Delta:
-    """What brings a configuration from at least one generation to another.
+    """The changes that bring a configuration to a later generation.
 
     Attributes:
         since: The receiver must be at this generation or later; 0 for a
-            delta that holds everything.
-        floor: The giver's floor, see `Configuration`.
+            delta with the whole configuration.
+        floor: The sender's floor, see `Configuration`.
     """
 
     since: int
@@ -194,8 +198,8 @@
     """All entries at one generation.
 
     Attributes:
-        floor: The oldest generation whose tombstones are all kept; a process
-            below it needs the whole configuration.
+        floor: The oldest generation from which all tombstones are kept; a
+            process below it needs the whole configuration.
     """
 
     generation: int = 0
@@ -203,17 +207,17 @@
     applied: tuple[Applied, ...] = ()
     floor: int = 0
 
-    # Looking up
+    # Lookup
 
     def get(self, kind: Kind, name: str) -> Entry | None:
-        """Returns an entry, a tombstone too, or None."""
+        """Returns an entry, which may be a tombstone, or None."""
         for entry in self.entries:
             if entry.kind == kind and entry.name == name:
                 return entry
         return None
 
     def values(self, kind: Kind) -> tuple[Value, ...]:
-        """Returns the live values of a kind."""
+        """Returns the values of a kind that are not deleted."""
         return tuple(
             e.value
             for e in self.entries
@@ -231,12 +235,12 @@
         """Returns the entries changed after a generation."""
         return tuple(e for e in self.entries if e.generation > generation)
 
-    # New configurations from old
+    # Updates
 
     def apply(
         self, change: Change, plan: str, operator: str
     ) -> "Configuration":
-        """Returns the next generation with a change made."""
+        """Returns the next generation with a change applied."""
         generation = self.generation + 1
         merged = {e.id: e for e in self.entries}
         for value in change.put:
@@ -251,7 +255,7 @@
         )
 
     def delta(self, since: int) -> Delta:
-        """Returns what a process at a generation is missing."""
+        """Returns the changes that a process at a generation lacks."""
         if since < self.floor:
             since = 0
         return Delta(
@@ -263,10 +267,13 @@
         )
 
     def merge(self, delta: Delta) -> "Configuration":
-        """Returns this configuration with a peer's delta, never older.
+        """Returns this configuration with a peer's delta applied.
+
+        A delta that is not newer, or that starts after this generation, is
+        ignored: the generation of a process never decreases.
 
-        A delta that is not newer, or that starts beyond this generation, is
-        left out: the generation of a process only rises.
+        Raises:
+            InvariantError: The generation would decrease.
         """
         if delta.generation <= self.generation or delta.since > self.generation:
             return self
@@ -294,12 +301,12 @@
 
 
 def check_rises(old: Configuration, new: Configuration) -> None:
-    """Asserts that a process's configuration never goes back.
+    """Checks that the generation of a process does not decrease.
 
     Raises:
         InvariantError: The new generation is below the old one.
     """
     if new.generation < old.generation:
         raise errors.InvariantError(
-            f"generation would fall from {old.generation} to {new.generation}"
+            f"generation would decrease: {old.generation} to {new.generation}"
         )
--- a/src/wayslip/decisions/contents.py
+++ b/src/wayslip/decisions/contents.py
@@ -1,12 +1,12 @@
-"""What makes one request the same as another: its content.
+"""Content digests: identify requests that ask for the same thing.
 
-Each attempt of a client has an id of its own, so a client that asks again, or
-another one that asks the same, is told by what is asked for.
+Each attempt of a client has its own request id, so retries, and equal requests
+of other clients, can be recognised only by their content.
 """
 
 import hashlib
 
-# Bytes of a digest: nobody finds two contents with the same one.
+# Bytes of a digest, enough to make collisions infeasible.
 _DIGEST_BYTES = 16
 
 
@@ -18,14 +18,15 @@
     model: str,
     body: bytes,
 ) -> bytes:
-    """Returns the digest of what a request asks for.
+    """Returns the digest of a request's content.
 
     Args:
-        organisation: Who asks; what one sends says nothing of another's.
-        host: That it is sent to.
-        method: Of the request.
-        target: Its path and query.
-        model: With its adapter, empty where the service is plain.
+        organisation: The sender; requests of different organisations are
+            never the same content.
+        host: The host that the request is sent to.
+        method: The request's method.
+        target: The request's path and query.
+        model: The model with its adapter, empty for a plain service.
         body: The whole body.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
@@ -37,7 +38,7 @@
         model.encode(),
         body,
     ):
-        # With its length each part ends where it ends, whatever is in it.
+        # The length prefix keeps the boundaries between parts unambiguous.
         digest.update(len(part).to_bytes(8, "big"))
         digest.update(part)
     return digest.digest()
--- a/src/wayslip/decisions/copies.py
+++ b/src/wayslip/decisions/copies.py
@@ -1,8 +1,8 @@
-"""What copies of models are worth on the engines of a pool.
+"""Value of model copies on the engines of a pool.
 
-Every copy is worth the requests that would not be served without it. Rates are
-requests a second, work seconds of reading a second, sizes megabytes, times
-seconds.
+The value of a copy is the number of requests that would not be served without
+it. Rates are requests per second, work is seconds of prompt reading per
+second, sizes are megabytes and times are seconds.
 """
 
 from collections.abc import Mapping
@@ -10,53 +10,56 @@
 
 from wayslip.decisions import manifest
 
-# Over how long a load has to pay. Demand moves to other models within half a
-# minute.
+# A load must pay off within this time, because demand moves to other models
+# within half a minute.
 HORIZON_SECONDS = 12.0
-# Share of an engine's time that reading prompts may take before the first
-# tokens come late. Prompts differ sixfold in length and come in clumps: at 0.65
-# of the time, by the rates that engines have, one that comes waits for most of
-# a second. On a fleet of 195 instances and 79 engines 0.830 of the tries were
-# answered with 0.45 and 0.820 with 0.65, in 16 s of moving demand, a play each.
+# Share of an engine's time above which reading prompts delays first tokens.
+# Prompts differ sixfold in length and arrive in bursts: at 0.65 of the time, at
+# the reading rates of engines, a new prompt waits for most of a second. With
+# 195 instances and 79 engines, 0.830 of the attempts were answered at 0.45 and
+# 0.820 at 0.65, in one run of 16 s of moving demand each.
 MAX_READING_SHARE = 0.45
-# Part of the worth of a request that is saved where an engine is not busier
-# than that: a late answer earns a half at one user and a tenth at the other.
+# Share of a request's value that is saved where an engine is not busier than
+# that: a late answer is worth half of a timely one in one deployment and a
+# tenth in another.
 LATE_WORK_VALUE = 0.3
-# The same of what engines can not read at all, because more comes than they
-# read: their queue grows, and requests are refused or run out of time.
+# The same for work that engines can not do at all, because prompts arrive
+# faster than they are read: queues grow, and requests are refused or time out.
 LOST_WORK_VALUE = 0.9
-# What the only copy of a model without demand is worth, requests a second:
-# somebody may ask for it, and a load takes seconds.
+# Value of the only copy of a model without demand, requests per second: a
+# request may arrive for it, and a load takes seconds.
 IDLE_COPY_RATE = 0.03
-# What an engine loses by being busy with a load, requests a second, besides
-# its adapters: another model may be wanted more a moment later.
+# Cost of keeping an engine busy with a load, requests per second, besides its
+# adapters: another model may be needed more shortly after.
 LOAD_LOSS_RATE = 0.12
-# What it loses more where all other engines are busy too, as a share of the
-# requests that an engine gets on average: demand moves to a model that is
-# nowhere, and no engine is free to take it in. Without it, loads of six seconds
-# for single requests kept all engines busy: worth of a user with 6 engines and
-# 26 models 0.424 without and 0.452 with it, +0.028 +- 0.013, paired over 10
-# runs of five days.
+# Additional cost where all other engines are busy too, as a share of the mean
+# request rate of an engine: demand moves to a model that no engine holds, and
+# no engine is free to load it. Without this cost, loads of six seconds for
+# single requests kept all engines busy. With 6 engines and 26 models, it raised
+# the value of the answers from 0.424 to 0.452 (+0.028 +- 0.013 over 10 paired
+# runs of five days).
 LOAD_LOSS_SHARE = 0.6
-# A loaded model is not taken away for this long, so that the requests it was
-# loaded for can come back for it.
+# A loaded model is not evicted for this long, so that the requests that it was
+# loaded for can be retried.
 MIN_RESIDENT_SECONDS = 4.0
-# Unloading waits for a model's runs, seconds; a model without demand has none.
+# Unloading waits for the model's running requests; a model whose demand is not
+# above `_IDLE_RATE` is assumed to have none.
 UNLOAD_SECONDS = 1.5
 _IDLE_RATE = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """How often a model is asked for, requests a second.
+    """The demand for a model.
 
     Attributes:
-        rate: All requests.
-        work: Seconds that an engine takes to read their prompts, a second.
-        unserved: What loading it gains besides, requests: it was asked for in
-            vain, and nobody may be refused for ever.
-        missing_adapter: Those for an adapter that is probably not loaded; an
-            engine that loads a model can not load one meanwhile.
+        rate: All requests, per second.
+        work: Time to read their prompts, seconds per second.
+        unserved: Additional gain of loading the model, requests: it grows
+            with requests that were refused for lack of the model, so that
+            none is refused indefinitely.
+        missing_adapter: Requests per second for an adapter that is probably
+            not loaded; an engine can not load it while it loads a model.
     """
 
     rate: float
@@ -70,20 +73,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Engine:
-    """An engine as the planner sees it.
+    """The planner's view of an engine.
 
     Attributes:
+        name: The engine's name.
         models: Models that it holds.
-        pending_loads: Models that it loads, with the seconds until they serve.
-        charged_mb: Memory that is or may be taken, adapters included.
+        pending_loads: Models that it is loading, with the seconds until they
+            can serve.
+        charged_mb: Memory that is or may be in use, adapters included.
         adapters_mb: Memory of the adapters of each model.
         is_free: Whether it can take an order now.
-        fresh: Models that were loaded just now.
-        in_memory: Models it loads in `warm_s`.
-        on_disk: Models it loads in `disk_s`.
-        limit: Requests a second that it takes from all instances together,
-            None for no limit.
-        backoff: Seconds for which it wants no requests.
+        fresh: Models that were loaded recently and are not evicted yet.
+        in_memory: Models that it loads in `warm_s`.
+        on_disk: Models that it loads in `disk_s`.
+        limit: Requests per second that it accepts from all instances
+            together, None for no limit.
+        backoff: Seconds for which it asked for no requests.
     """
 
     name: str
@@ -100,18 +105,19 @@
 
     @property
     def is_constrained(self) -> bool:
-        """Whether it takes less than it could."""
+        """Whether it is rate-limited or backing off."""
         return self.limit is not None or self.backoff > 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Copies:
-    """Where a model is.
+    """The copies of a model.
 
     Attributes:
         held: Engines that hold it.
-        pending_loads: Engines that load it.
-        load_seconds: Seconds until the first of those can serve.
+        pending_loads: Number of engines that are loading it.
+        load_seconds: Seconds until the first of those can serve, at most
+            `HORIZON_SECONDS`.
     """
 
     held: tuple[str, ...] = ()
@@ -120,21 +126,21 @@
 
     @property
     def ready_seconds(self) -> float:
-        """Seconds until it can serve somewhere."""
+        """Seconds until an engine can serve the model."""
         return 0.0 if self.held else self.load_seconds
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CopyValue:
-    """What one more copy of a model is wanted for.
+    """What determines the value of one more copy of a model.
 
     Attributes:
-        ready_seconds: Seconds until the model can serve somewhere.
-        rate: Requests a second.
-        unserved: Requests that a first copy gains besides.
-        late: Work that its engines do late, seconds a second.
-        lost: Work that they can not do at all.
-        requests: How many requests a second of work is.
+        ready_seconds: Seconds until an existing or pending copy can serve.
+        rate: Requests per second.
+        unserved: Additional gain of a first copy, requests.
+        late: Work that its engines do late, seconds per second.
+        lost: Work that they can not do at all, seconds per second.
+        requests: Requests per second of work.
     """
 
     ready_seconds: float
@@ -145,11 +151,11 @@
     requests: float
 
     def gain(self, seconds: float, spare: float) -> float:
-        """Returns the requests that a copy serves in the horizon.
+        """Returns the requests that a copy gains within the horizon.
 
         Args:
-            seconds: When it can serve.
-            spare: Work that its engine has time for.
+            seconds: Seconds until the copy can serve.
+            spare: Work that its engine has capacity for.
         """
         gain = (
             max(self.ready_seconds - seconds, 0.0) * self.rate + self.unserved
@@ -166,13 +172,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Room:
-    """What it takes to make room for a model on an engine.
+    """How to make room for a model on an engine, and at what cost.
 
     Attributes:
-        victims: Models that make way.
+        victims: Models to evict.
         loss: Requests that are lost with them over the horizon.
-        wait: Seconds until they are gone.
-        busy_loss: Requests a second that the engine loses while it is busy.
+        wait: Seconds until they are unloaded.
+        busy_loss: Requests per second that are lost while the engine is busy.
     """
 
     victims: tuple[str, ...]
@@ -182,11 +188,19 @@
 
 
 class World:
-    """Engines and demand with what follows from both.
+    """Engines and demand, with the values derived from both.
 
-    What is worked out once is kept: a plan asks for it again for each of many
-    models. For 300 engines and 213 models a plan took 73 ms without it and 37
-    with it, on a busy machine.
+    Derived values are cached, because a plan needs them again for each of many
+    models. For 300 engines and 213 models, a plan took 73 ms without the cache
+    and 37 ms with it, on a busy machine.
+
+    Attributes:
+        engines: Engines by name.
+        pool: The pool's limits and models.
+        copies: Copies by model.
+        spare: Work that each engine can take before first tokens are late.
+        busy_loss: Requests per second that are lost by keeping one more engine
+            busy.
     """
 
     def __init__(
@@ -212,7 +226,7 @@
         self._free: dict[float, list[Engine]] = {}
 
     def _find_busy_loss(self) -> float:
-        """Returns what one more engine loses by a load, requests a second."""
+        """Returns the cost of keeping one more engine busy with a load."""
         count = len(self.engines)
         served = sum(
             asked.rate
@@ -228,7 +242,7 @@
         return self._demand.get(model, _NO_DEMAND)
 
     def _work_per_copy(self, model: str) -> float:
-        """Returns the work of a model on each engine that holds it."""
+        """Returns a model's work on each engine that holds it."""
         copies = self.copies.get(model, Copies())
         return self.demand(model).work / max(len(copies.held), 1)
 
@@ -236,7 +250,11 @@
         return sum(self._work_per_copy(m) for m in engine.models)
 
     def _find_capacity(self, engine: Engine) -> float:
-        """Returns the part of the horizon that an engine serves in."""
+        """Returns the share of the horizon in which an engine can read prompts.
+
+        A limited engine's share is what its limit allows at the mean work of
+        a request; it is 0 without demand.
+        """
         served = 1.0 - min(engine.backoff / HORIZON_SECONDS, 1.0)
         if engine.limit is None:
             return served
@@ -251,7 +269,7 @@
         return min(engine.limit * work, served)
 
     def _sum_excess(self, model: str) -> tuple[float, float]:
-        """Returns the work that its engines do late, and can not do at all."""
+        """Returns a model's work that is done late and that is not done."""
         work = self._work_per_copy(model)
         late = lost = 0.0
         for name in self.copies[model].held:
@@ -267,16 +285,16 @@
         return late, lost
 
     def _count_requests(self, model: str, work: float) -> float:
-        """Returns how many requests a second some work is."""
+        """Returns the requests per second that cause some work."""
         asked = self.demand(model)
         return work / asked.work * asked.rate if asked.work else 0.0
 
     def find_copy_value(self, model: str) -> CopyValue:
-        """Returns what one more copy of a model is wanted for."""
+        """Returns the value of one more copy of a model."""
         copies = self.copies[model]
         asked = self.demand(model)
         is_absent = not copies.held and not copies.pending_loads
-        # Copies on their way will take a part of what is too much now.
+        # Pending copies will take a share of the excess.
         late, lost = self._sum_excess(model)
         return CopyValue(
             ready_seconds=copies.ready_seconds,
@@ -288,11 +306,10 @@
         )
 
     def list_free(self, weights_mb: float) -> list[Engine]:
-        """Returns engines that can take a model of some size.
+        """Returns free engines that can make room for a model of some size.
 
-        They can be ordered now, and the one that loses least by what makes
-        way comes first. Engines in need are left alone while others can be
-        ordered.
+        The engine that loses least by evictions comes first. Constrained
+        engines are excluded unless all free engines are constrained.
         """
         known = self._free.get(weights_mb)
         if known is None:
@@ -309,7 +326,7 @@
         return known
 
     def find_room(self, engine: Engine, weights_mb: float) -> Room:
-        """Returns what makes room on an engine that `list_free` returned."""
+        """Returns how to make room on an engine that `list_free` returned."""
         return self._rooms[weights_mb][engine.name]
 
     def _make_room(self, engine: Engine, weights_mb: float) -> Room | None:
@@ -331,7 +348,7 @@
         )
 
     def list_losses(self, engine: Engine) -> list[tuple[float, str]]:
-        """Returns what is lost with each copy on an engine, least first."""
+        """Returns the loss by evicting each copy on an engine, least first."""
         return sorted(
             (self.loss_of_copy(m, engine.name), m)
             for m in engine.models
@@ -339,13 +356,13 @@
         )
 
     def loss_of_copy(self, model: str, engine: str) -> float:
-        """Returns the requests that are lost with a copy in the horizon."""
+        """Returns the requests that are lost with a copy within the horizon."""
         copies = self.copies[model]
         asked = self.demand(model)
         rate = asked.rate
         if len(copies.held) <= 1:
-            # What was loaded because of requests in vain stays until one of
-            # them has come back for it.
+            # A model that was loaded because requests were refused stays
+            # until one of them has been retried.
             return (
                 rate + IDLE_COPY_RATE
             ) * copies.load_seconds + asked.unserved
@@ -378,7 +395,10 @@
 def _choose_victims(
     world: World, engine: Engine, missing: float
 ) -> tuple[tuple[str, ...] | None, float]:
-    """Returns the models that make way and the loss, cheapest first."""
+    """Returns the models to evict, cheapest first, and their total loss.
+
+    The models are None if evictions can not free enough memory.
+    """
     if missing <= 0:
         return (), 0.0
     victims: list[str] = []
--- a/src/wayslip/decisions/copy_sources.py
+++ b/src/wayslip/decisions/copy_sources.py
@@ -1,28 +1,28 @@
-"""Where an instance gets a configuration that it was told of but lacks.
-
-Load pattern: the operator writes a configuration of up to 1 MB, and at the
-same moment each of 60 to 400 instances wants it, over links of 5 Mbit/s and
-more. Read from the store by each it takes 1.7 s of such a link, in which
-callers' answers are late, and a second change waits for the first. Handed on
-between instances it is a fifteenth of that, compressed, and the store's calls
-do not grow with the fleet.
-
-The lease's holder has it first. Were it asked by all, it would send the whole
-fleet's copies over one link; so some ask it, and the others ask each other a
-moment later.
+"""Selects the source from which an instance copies a new configuration.
+
+Load pattern: an operator writes a configuration of up to 1 MB, and 60 to 400
+instances need it at once, over links of 5 Mbit/s and more. A read from the
+store takes 1.7 s of such a link, during which answers to callers are late and
+a second change waits for the first. A compressed copy from another instance is
+a fifteenth of the size, and the number of calls to the store does not grow
+with the fleet.
+
+The lease holder has the configuration first. If all instances asked it, it
+would send all copies over one link. So only some ask it, and the others ask
+each other shortly after.
 """
 
 from collections.abc import Sequence
 import random
 
-# Instances that ask the lease's holder at once, on average: 24 copies of
+# Mean number of instances that ask the lease holder at once: 24 copies of
 # 0.07 MB take 0.14 s of a link of 100 Mbit/s.
 MEAN_HOLDER_REQUESTS = 24.0
-# Copies already on their way may delay the next one by this much, seconds. An
-# instance that is refused finds another one sooner.
+# Longest time for which a copy may wait for earlier ones. An instance that is
+# refused gets its copy sooner from another one.
 MAX_QUEUE_SECONDS = 0.3
-# Share of a link that copies for other instances may take; the rest is for
-# callers' answers.
+# Share of a link that copies for other instances may use; the rest is for
+# answers to callers.
 _LINK_SHARE = 0.5
 
 
@@ -32,9 +32,10 @@
     """Returns the address of the instance to ask, None if none is known.
 
     Args:
-        holder: Of the lease, which has what it tells of; None if unknown.
-        peers: All other instances that are known.
-        rng: Draws one.
+        holder: Address of the lease holder, None if unknown. It has every
+            configuration that it announces.
+        peers: Addresses of all other known instances.
+        rng: Random generator for the choice.
     """
     others = [p for p in peers if p != holder]
     if holder is None:
@@ -50,10 +51,10 @@
     """Returns when the link is free after a copy, None to refuse it.
 
     Args:
-        free_at: When the copies before it have left, seconds.
-        now: The same clock.
-        size: Of the copy, bytes.
-        bytes_per_s: Of the link.
+        free_at: When the earlier copies have been sent, seconds.
+        now: Seconds of the same clock.
+        size: Size of the copy, bytes.
+        bytes_per_s: Bandwidth of the link.
     """
     began = max(free_at, now)
     if began - now > MAX_QUEUE_SECONDS:
--- a/src/wayslip/decisions/demand.py
+++ b/src/wayslip/decisions/demand.py
@@ -1,4 +1,4 @@
-"""How often items are asked for, with older requests fading out."""
+"""Request rates of items, with exponential decay."""
 
 from collections.abc import Hashable
 import math
@@ -7,15 +7,15 @@
 
 K = TypeVar("K", bound=Hashable)
 
-# Below this a rate is forgotten, requests a second.
+# Rates below this are dropped, requests per second.
 _MIN_RATE = 0.01
 
 
 class Rates(Generic[K]):
-    """Rates by key, requests a second.
+    """Exponentially decaying rates by key, requests per second.
 
     Args:
-        decay_seconds: Seconds after which a request counts for a third.
+        decay_seconds: Time constant; after it a request counts for 1/e.
     """
 
     def __init__(self, decay_seconds: float) -> None:
@@ -23,23 +23,23 @@
         self._rates: dict[K, tuple[float, float]] = {}
 
     def add(self, key: K, count: float, now: float) -> None:
-        """Counts requests."""
+        """Adds `count` requests to a key's rate."""
         self._rates[key] = (
             self.get(key, now) + count / self._decay_seconds,
             now,
         )
 
     def set(self, key: K, rate: float, now: float) -> None:
-        """Takes a rate over from elsewhere."""
+        """Replaces a key's rate by one received from another instance."""
         self._rates[key] = (rate, now)
 
     def get(self, key: K, now: float) -> float:
-        """Returns a key's rate."""
+        """Returns a key's rate, decayed to `now`."""
         rate, at = self._rates.get(key, (0.0, now))
         return rate * math.exp(-(now - at) / self._decay_seconds)
 
     def all(self, now: float) -> dict[K, float]:
-        """Returns all rates, forgetting the faded ones."""
+        """Returns all rates; drops those below the minimum."""
         rates = {key: self.get(key, now) for key in self._rates}
         for key, rate in rates.items():
             if rate < _MIN_RATE:
--- a/src/wayslip/decisions/detachment.py
+++ b/src/wayslip/decisions/detachment.py
@@ -1,64 +1,66 @@
-"""Whether the lease's holder may order engines while nobody reaches the store.
-
-An order is normally preceded by a write that keeps other instances away from
-its engine. While the store answers nobody, nobody can write, and the holder of
-the lease may go on without it, as long as every instance agrees: each says
-that the store does not answer it and that it heard the holder just now. An
-instance that heard so keeps away from all engines for `HOLD_OFF_SECONDS` and
-the distance between holders, whatever it writes later. The store stays the only
-place where the lease changes hands; the instances agree on nothing but that
-it is away.
+"""Detached operation: orders to engines while the store is unreachable.
+
+An order is normally preceded by a write to the store that keeps other
+instances from ordering the same engine. While no instance can reach the store,
+none can write, and the lease holder may order engines without it as long as
+every instance agrees: each reports that the store does not answer it and that
+it received the holder's recent messages. An instance that received the
+holder's proposal sends no orders for `HOLD_OFF_SECONDS` plus the time kept
+between the orders of two holders, whatever it writes later. The lease changes
+hands only in the store; the instances agree only that it is unreachable.
 """
 
 from collections.abc import Iterable
 import dataclasses
 
-# An instance's word counts for this long after the holder sent what it
-# answers, seconds: four reports of a fleet of 200, where each instance reports
-# every 0.5 s and its word is 0.8 s old when the next one comes. Less than that
-# turned every lost datagram of one instance into a pause of all orders.
+# An instance's status is valid for this long after the holder sent the message
+# that it answers. This spans four reports in a fleet of 200, where each
+# instance reports every 0.5 s and its status is 0.8 s old when the next one
+# arrives. With a shorter time, every lost datagram of one instance paused all
+# orders.
 STATUS_LIFETIME_SECONDS = 2.0
-# An instance that reaches the store again is given to the holder for so long
-# before it yields, seconds; the holder tries several times meanwhile.
+# When another instance reaches the store again, a granted holder goes on for
+# this long before it yields; meanwhile it tries several times to reach the
+# store itself.
 YIELD_DELAY_SECONDS = 0.8
-# An instance that fell silent without saying that it stops may be cut off from
-# us and not from the store. It takes the lease then, within two seconds; one
-# that has not done so after this long while ours was renewed is gone, or cut
-# off from the store too, seconds.
+# An instance that stopped reporting without announcing that it stops may be
+# disconnected from the holder but not from the store. It would then take the
+# lease within two seconds. If it has not done so after this time, while the
+# holder's lease was renewed, it has ended or can not reach the store either.
 MISSING_SECONDS = 4.0
-# An order that was decided on an instance's word may still leave and travel,
-# seconds.
+# Time to send and deliver an order that was decided on an instance's status.
 _ORDER_TRANSIT_SECONDS = 0.5
-# How long after a detached holder was last heard it may still order, seconds.
+# After a detached holder's last message, its orders may arrive for this long.
 HOLD_OFF_SECONDS = STATUS_LIFETIME_SECONDS + _ORDER_TRANSIT_SECONDS
 
 
 def make_stamp(now: float) -> int:
-    """Returns a steady time as it is told: in whole microseconds.
+    """Returns a monotonic time as it is sent: in whole microseconds.
 
-    Whole milliseconds made the state that told of a proposal seem older than
-    the proposal, so the first answers of all instances did not count; the next
-    ones came half a second later.
+    With whole milliseconds, the message that announced a proposal seemed older
+    than the proposal, so the first answers of all instances did not count; the
+    next ones arrived half a second later.
 
     Args:
-        now: Steady seconds.
+        now: Seconds of a monotonic clock.
     """
     return int(now * 1_000_000)
 
 
 def read_stamp(stamp: int) -> float:
-    """Returns the steady seconds of a time as it is told."""
+    """Returns the seconds of a time as it is sent."""
     return stamp / 1_000_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """What an instance said of itself.
+    """The last status that an instance reported.
 
     Attributes:
-        echoed_at: When the holder sent the statement that it answers, steady
-            seconds of the holder.
-        is_disconnected: Whether the store did not answer it when it last tried.
+        echoed_at: When the holder sent the message that the status answers,
+            seconds of the holder's monotonic clock.
+        is_disconnected: Whether the store did not answer the instance's last
+            try.
     """
 
     echoed_at: float
@@ -67,12 +69,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Detachment:
-    """What the holder may do without the store.
+    """State of detached operation at the lease holder.
 
     Attributes:
-        proposed_at: Since when the holder says that it goes on without the
-            store, None while it does not.
-        is_granted: Whether all have heard so, and it may order engines.
+        proposed_at: Since when the holder proposes detached operation, None
+            while it does not.
+        is_granted: Whether all instances have received the proposal recently,
+            so that the holder may order engines.
         store_reached_since: Since when an instance has reached the store,
             None while none does.
     """
@@ -87,16 +90,17 @@
         has_missing_instance: bool,
         now: float,
     ) -> "Detachment":
-        """Returns what the holder may do, given all instances' last words.
+        """Returns the state that follows from all instances' last statuses.
 
-        Old word of one instance pauses the orders and does not withdraw the
-        proposal: what the others have heard of it stays true, and the next
-        word of that one is enough to go on.
+        An expired status of one instance pauses the orders but does not
+        withdraw the proposal: the other instances have still received it, and
+        the next status of that instance is enough to continue.
 
         Args:
-            statuses: One of every other instance that runs.
-            has_missing_instance: Whether one fell silent without saying why.
-            now: Steady seconds.
+            statuses: One of every other running instance.
+            has_missing_instance: Whether one stopped reporting without
+                announcing that it stops.
+            now: Seconds of the holder's monotonic clock.
         """
         known = list(statuses)
         if has_missing_instance:
--- a/src/wayslip/decisions/facts.py
+++ b/src/wayslip/decisions/facts.py
@@ -1,7 +1,7 @@
-"""Small facts that daemons tell each other, newest version wins.
+"""Facts that daemons gossip to each other; the newest version wins.
 
-A fact is soft: it has a lifetime and may be lost. What must last goes through
-the object API.
+Facts are soft state: they have a lifetime and may be lost. State that must
+last is stored through the object API.
 """
 
 from collections.abc import Iterable
@@ -22,12 +22,13 @@
     """One fact.
 
     Attributes:
-        subject: Whom it is about: an endpoint, or an entry and an endpoint.
+        topic: What it is about.
+        subject: An endpoint, or an entry and an endpoint.
         origin: The member that found it.
-        at: When it was found, seconds of the origin's wall clock; the
+        at: When it was found, seconds of the origin's wall clock; also the
             version among facts of one topic, subject and origin.
-        value: A number whose meaning the topic gives.
-        ttl: Seconds for which it holds.
+        value: A number whose meaning depends on the topic.
+        ttl: Lifetime in seconds.
     """
 
     topic: Topic
@@ -39,14 +40,18 @@
 
     @property
     def id(self) -> tuple[Topic, str, str]:
-        """What the fact is a version of."""
+        """Key that all versions of the fact share."""
         return (self.topic, self.subject, self.origin)
 
 
 class FactTable:
-    """The facts one process knows, bounded, with their local arrival time.
+    """The facts that a process knows, with their local arrival times.
 
-    Lifetimes run from the arrival, so clocks of instances need not agree.
+    Lifetimes are counted from the arrival, so the clocks of instances need not
+    agree.
+
+    Args:
+        limit: Maximum number of facts; new ones beyond it are dropped.
     """
 
     def __init__(self, limit: int = 20_000) -> None:
@@ -54,7 +59,7 @@
         self._facts: dict[tuple[Topic, str, str], tuple[Fact, float]] = {}
 
     def merge(self, facts: Iterable[Fact], now: float) -> tuple[Fact, ...]:
-        """Takes facts in and returns those that were news."""
+        """Adds facts and returns those that were new or newer."""
         added = []
         for fact in facts:
             known = self._facts.get(fact.id)
@@ -67,7 +72,7 @@
         return tuple(added)
 
     def expire(self, now: float) -> None:
-        """Drops facts past their lifetime."""
+        """Removes facts past their lifetime."""
         old = [i for i, (f, at) in self._facts.items() if now - at > f.ttl]
         for fact_id in old:
             del self._facts[fact_id]
--- a/src/wayslip/decisions/fanout.py
+++ b/src/wayslip/decisions/fanout.py
@@ -1,26 +1,27 @@
-"""How a statement for all instances travels: one hop, or two through heads.
-
-A small fleet is told directly. In a larger one some instances of each data
-hall, the heads, are told and pass the statement on to others of their hall.
-So neither the sender's link nor the links between halls carry it once for
-each instance. Heads are drawn anew for every statement: one that died loses
-its part of a few statements, and nobody has to notice.
+"""Broadcast of a message to all instances, directly or through relays.
+
+In a small fleet the sender sends to every instance. In a larger one it sends
+only to some instances of each data hall, the relays, which forward the message
+to others of their data hall. So neither the sender's link nor the links between
+data halls carry it once for each instance. Relays are drawn at random for every
+message: a dead one loses its share of a few messages, and no failure detection
+is needed.
 """
 
 from collections.abc import Iterable
 import dataclasses
 import random
 
-# A fleet up to this size is told directly: a statement of 3 KB is then 50 KB
-# at the sender, which a link of 10 Mbit/s takes in 40 ms.
+# A fleet up to this size gets messages without relays: 16 messages of 3 KB are
+# 50 KB at the sender, which takes 40 ms of a link of 10 Mbit/s.
 MAX_DIRECT_RECIPIENTS = 16
-# Instances that a head passes a statement on to; the same reason.
+# Instances that a relay forwards a message to; limited for the same reason.
 MAX_RELAY_RECIPIENTS = 10
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peer:
-    """An instance: where it hears its peers, "IP:PORT", and its data hall."""
+    """An instance: its address for peers, "IP:PORT", and its data hall."""
 
     address: str
     data_hall: str
@@ -28,18 +29,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Branch:
-    """Whom to send to, and whom that instance passes it on to."""
+    """The instance to send to, and those that it forwards to."""
 
     relay: str
     recipients: tuple[str, ...] = ()
 
 
 def plan(peers: Iterable[Peer], rng: random.Random) -> list[Branch]:
-    """Returns the branches of one statement.
+    """Returns the branches of one message.
 
     Args:
-        peers: All that have to hear it.
-        rng: Draws the heads.
+        peers: All instances that must receive it.
+        rng: Random generator for the choice of relays.
     """
     known = list(peers)
     if len(known) <= MAX_DIRECT_RECIPIENTS:
--- a/src/wayslip/decisions/fleet.py
+++ b/src/wayslip/decisions/fleet.py
@@ -1,4 +1,4 @@
-"""Endpoints as the platform lists them."""
+"""Endpoints and engines as the platform describes them."""
 
 import dataclasses
 
@@ -8,7 +8,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class Incarnation:
-    """Names one start of an endpoint; see `Endpoint.born`."""
+    """Identifies one incarnation of an endpoint.
+
+    Attributes:
+        endpoint: The endpoint's name.
+        born: Its start time, see `Endpoint.born`.
+    """
 
     endpoint: str
     born: int = 0
@@ -16,19 +21,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One start of an endpoint, its incarnation.
+    """One incarnation of an endpoint.
 
     Attributes:
-        name: Its id. A later start may have it again; see `born`.
+        name: Its id. A later incarnation may have the same one; see `born`.
+        service: The service that it belongs to.
         address: "IP:PORT"; may belong to another endpoint later.
-        data_hall: Where it runs.
-        slots: Requests that it works on at once.
-        is_leaving: Whether it takes no new work.
+        data_hall: The data hall that it runs in.
+        slots: Requests that it processes concurrently.
+        is_leaving: Whether it takes no new requests.
         models: The adapters that it holds, by model.
-        in_memory: Models whose weights lie in its host memory.
-        on_disk: Models whose weights lie on its disk.
-        beat: Number of the heartbeat that wrote the entry; it rises within
-            the endpoint's life, and an entry with a lower one is older.
+        in_memory: Models whose weights are in its host memory.
+        on_disk: Models whose weights are on its disk.
+        beat: Count of the heartbeat that wrote the entry; it increases within
+            an incarnation, and an entry with a lower one is older.
+        born: Start time of the incarnation; 0 if unknown.
     """
 
     name: str
@@ -45,7 +52,7 @@
 
     @property
     def incarnation(self) -> Incarnation:
-        """What tells this start from others of the same name."""
+        """Distinguishes this incarnation from others of the same name."""
         return Incarnation(self.name, self.born)
 
     def is_before(self, other: "Endpoint") -> bool:
@@ -55,11 +62,11 @@
         return self.beat < other.beat
 
     def succeeds(self, other: "Endpoint") -> bool:
-        """Whether this is a later start than another of the same name."""
+        """Whether this is a later incarnation than another of the same name."""
         return bool(other.born) and self.born > other.born
 
     def holds(self, model: str, adapter: str) -> bool:
-        """Whether a model, and an adapter if one is named, is loaded."""
+        """Whether a model, and its adapter unless empty, is loaded."""
         held = self.models.get(model)
         if held is None:
             return False
@@ -68,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What an endpoint said of its load with an answer."""
+    """The load that an endpoint reported with an answer."""
 
     running: int
     waiting: int
@@ -77,13 +84,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """What an engine says of itself when asked.
+    """The state that an engine reports.
 
     Attributes:
-        orders: How many orders it has taken since its start.
+        orders: Number of orders that it has taken since its start.
         is_busy: Whether it is loading or unloading a model.
-        pending_loads: Adapters on their way to it.
-        born: When it started; see `Endpoint`.
+        models: The adapters that it holds, by model.
+        pending_loads: Adapters that it is loading.
+        born: Its start time; see `Endpoint`.
     """
 
     orders: int
--- a/src/wayslip/decisions/health.py
+++ b/src/wayslip/decisions/health.py
@@ -1,9 +1,10 @@
-"""Whether an endpoint may get new work.
+"""Whether an endpoint may get new requests.
 
-The platform's list lags and can be down, so an endpoint's own refusals and
-reports and the word of peers count too. The first sign that it is leaving
-wins. It returns only on proof: a report, taken after the sign, in which the
-endpoint says that it serves, and a list that does not call it leaving.
+The platform's list lags and can be unavailable, so an endpoint's own refusals
+and reports and the notices of peers count too. The first sign that an endpoint
+is leaving takes effect. The endpoint becomes usable again only after a report,
+requested after the last sign, in which it serves, and only if the platform's
+list does not call it leaving.
 """
 
 import dataclasses
@@ -11,7 +12,7 @@
 
 
 class LeavingSource(enum.StrEnum):
-    """Where the word of an endpoint's leaving came from."""
+    """The source of a sign that an endpoint is leaving."""
 
     LIST = "list"
     REFUSAL = "refusal"
@@ -21,13 +22,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Health:
-    """What is known of one endpoint. Times are seconds of one clock.
+    """The health of one endpoint. Times are seconds of one clock.
 
     Attributes:
         left_at: When the last sign of leaving was seen, None without one.
-        sign: Where it came from.
-        listed_leaving: What the platform's list said last.
-        failures: Connections refused or broken since the last report.
+        sign: The source of that sign.
+        listed_leaving: Whether the platform's list last called it leaving.
+        failures: Connections refused or broken since the last report in
+            which it serves.
     """
 
     left_at: float | None = None
@@ -37,20 +39,21 @@
 
     @property
     def is_leaving(self) -> bool:
-        """Whether there is a sign of leaving that no proof took back."""
+        """Whether there is a sign of leaving that no report has cleared."""
         return self.left_at is not None
 
     @property
     def is_usable(self) -> bool:
-        """Whether the endpoint may get new work."""
+        """Whether the endpoint may get new requests."""
         return self.left_at is None and self.failures == 0
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it may get work only where no usable endpoint can do it.
+        """Whether it may get only requests that no usable endpoint can serve.
 
-        One failure alone may be a late report. Refusing what only this
-        endpoint can do would make a model unreachable until the next poll.
+        After a single failure the endpoint may still work. Refusing requests
+        that only it can serve would make a model unavailable until the next
+        poll.
         """
         return self.left_at is None and self.failures == 1
 
@@ -62,9 +65,9 @@
         )
 
     def note_listed_live(self) -> "Health":
-        """Returns the health after the platform's list called it live.
+        """Returns the health after the platform listed the endpoint as live.
 
-        The list lags, so this alone does not bring the endpoint back.
+        The list lags, so this alone does not make the endpoint usable.
         """
         return dataclasses.replace(self, listed_leaving=False)
 
@@ -73,11 +76,11 @@
         return dataclasses.replace(self, failures=self.failures + 1)
 
     def confirm_serving(self, asked_at: float) -> "Health":
-        """Returns the health after a report in which the endpoint serves.
+        """Returns the health after a report that the endpoint serves.
 
         Args:
-            asked_at: When the report was asked for, so that an answer under
-                way while a sign came in proves nothing.
+            asked_at: When the report was requested. A report that was
+                requested before the last sign does not clear it.
         """
         fresh = dataclasses.replace(self, failures=0)
         if self.left_at is None:
--- a/src/wayslip/decisions/inventory.py
+++ b/src/wayslip/decisions/inventory.py
@@ -1,12 +1,12 @@
-"""What an engine holds at a count of its orders.
+"""Contents of an engine at a given number of orders.
 
-An engine carries an order out only if that names how many orders the engine
-has taken so far. So it is enough to know what it holds at the count that is
-named: whatever happens meanwhile moves the count, and the order is refused.
+An engine executes an order only if the order names the number of orders that
+the engine has taken so far. So it is enough to know the contents at that
+number: any order in between changes the number, and the order is refused.
 
-Two things tell it: a report, which says its count, and the answer to an order
-that was given at a known count. The list of endpoints says no count and may
-be old, so nothing is concluded from it here.
+The contents are known from a report, which includes the number of orders, and
+from the answer to an order that was sent at a known number. The list of
+endpoints has no such number and may be out of date, so it is not used here.
 """
 
 import dataclasses
@@ -16,13 +16,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Inventory:
-    """All that an engine may hold at a count of its orders.
+    """All items that an engine may hold at a given number of orders.
 
     Attributes:
-        orders: Orders that it has taken.
-        items: What takes memory or a place, on its way or being unloaded too.
-        loading: Those that no report has shown in place yet.
-        unloading: Those that it was ordered to unload.
+        orders: Number of orders that it has taken.
+        items: Items that use memory or an adapter slot, including those that
+            are being loaded or unloaded.
+        loading: Items that no report has shown as loaded yet.
+        unloading: Items that it was ordered to unload.
     """
 
     orders: int
@@ -32,15 +33,16 @@
 
     @property
     def resident(self) -> frozenset[fleet.Item]:
-        """What is there and stays.
+        """Items that are loaded and not being unloaded.
 
-        Only this may be ordered away. An unload of anything else may be
-        answered as done though it does nothing and counts as no order.
+        Only these may be unloaded. An engine may answer the unload of any
+        other item as done although it does nothing and does not count it as
+        an order.
         """
         return self.items - self.loading - self.unloading
 
     def load(self, item: fleet.Item) -> "Inventory":
-        """Returns what follows on an order to load that was taken."""
+        """Returns the inventory after an accepted order to load an item."""
         return Inventory(
             self.orders + 1,
             self.items | {item},
@@ -49,10 +51,10 @@
         )
 
     def begin_unload(self, item: fleet.Item) -> "Inventory":
-        """Returns what follows on an order to unload that is under way.
+        """Returns the inventory after an order to unload was started.
 
-        A model takes its adapters along. All keep their room until a report
-        lacks them.
+        Unloading a model also unloads its adapters. All keep their memory and
+        adapter slots until a report no longer shows them.
         """
         model, adapter = item
         dropped = {i for i in self.items if i[0] == model and not adapter}
@@ -64,7 +66,7 @@
         )
 
     def drop(self, item: fleet.Item) -> "Inventory":
-        """Returns what follows on an adapter's unload that was done at once."""
+        """Returns the inventory after an adapter was unloaded at once."""
         return Inventory(
             self.orders + 1,
             self.items - {item},
@@ -74,9 +76,9 @@
 
 
 def read(state: fleet.EngineState) -> Inventory | None:
-    """Returns what a report tells; None if that is not all.
+    """Returns the inventory in a report, None if the report is incomplete.
 
-    A busy engine does not show the model that it loads.
+    A busy engine does not report the model that it is loading.
     """
     if state.is_busy:
         return None
@@ -87,8 +89,8 @@
 def update(
     known: Inventory | None, state: fleet.EngineState
 ) -> Inventory | None:
-    """Returns what is known after a report that is not older than `known`."""
+    """Returns the inventory after a report that is not older than `known`."""
     if known is not None and state.is_busy and state.orders == known.orders:
-        # It is busy with the order that is accounted for already.
+        # It is busy with an order that `known` already includes.
         return known
     return read(state)
--- a/src/wayslip/decisions/issued.py
+++ b/src/wayslip/decisions/issued.py
@@ -1,9 +1,9 @@
-"""Keys that an entry issues and that only this process of it runs.
+"""Idempotency keys that an entry issues and that only its process can run.
 
-They need no store at all: the issuer's memory is the only place that could
-start such a key, so a pause or a partition does no harm, and neither does an
-outage of the object API. In return a key whose issuer is gone stays
-`unknown`. docs/design/at-most-once.md compares this with the journal.
+These keys need no store. Only the process that issued a key can start it, so
+pauses, network partitions and outages of the object API can not cause a second
+run. In return, a key whose issuer has ended stays `unknown`.
+docs/design/at-most-once.md compares this with the journal.
 """
 
 import dataclasses
@@ -13,7 +13,7 @@
 
 
 class State(enum.StrEnum):
-    """How far an issued key has come."""
+    """The state of an issued key."""
 
     ISSUED = "issued"
     STARTED = "started"
@@ -24,7 +24,14 @@
 
 @dataclasses.dataclass
 class Issued:
-    """A key that is out; expires is seconds of the issuer's clock."""
+    """An issued key.
+
+    Attributes:
+        expires: When it expires, seconds of the issuer's clock.
+        state: Its state.
+        fingerprint: Digest of the request that used it, empty before.
+        answer: The result of the request, if it is known.
+    """
 
     expires: float
     state: State = State.ISSUED
@@ -33,7 +40,14 @@
 
 
 class IssuedTable:
-    """The keys one process issued; the caller holds a lock around calls."""
+    """The keys that one process issued.
+
+    Not thread-safe: the caller holds a lock around calls.
+
+    Args:
+        limit: Maximum number of keys that are kept.
+        lifetime: Seconds after which a key expires.
+    """
 
     def __init__(self, limit: int, lifetime: float) -> None:
         self._limit = limit
@@ -45,12 +59,12 @@
         return len(self._keys)
 
     def issue(self, count: int, now: float) -> range | refusals.Refusal:
-        """Returns the serials of new keys."""
+        """Returns the serial numbers of new keys, or a refusal."""
         self._expire(now)
         if len(self._keys) + count > self._limit:
             return refusals.Refusal(
                 refusals.Reason.OVERLOADED,
-                "too many issued keys are out; use those, or come back later",
+                "too many issued keys are outstanding; use those, or retry later",
                 30.0,
             )
         serials = range(self._next, self._next + count)
@@ -62,10 +76,10 @@
     def start(
         self, serial: int, fingerprint: str, now: float
     ) -> Issued | refusals.Refusal:
-        """Starts a key that has not run; returns what is known of it.
+        """Starts a key that has not run; returns a copy of its record.
 
-        The state is STARTED on return only for the one call that may run it;
-        another call finds UNKNOWN until the first has finished.
+        The returned state is STARTED only for the one call that may run the
+        request; other calls get UNKNOWN until that one has finished.
         """
         self._expire(now)
         known = self._keys.get(serial)
@@ -88,7 +102,7 @@
         return dataclasses.replace(known)
 
     def finish(self, serial: int, state: State, answer: object) -> None:
-        """Keeps what came of a key."""
+        """Records the result of a started key."""
         known = self._keys.get(serial)
         if known is not None and known.state is State.STARTED:
             known.state = state
--- a/src/wayslip/decisions/journal.py
+++ b/src/wayslip/decisions/journal.py
@@ -1,12 +1,12 @@
-"""The journal of requests that may not be repeated.
+"""Journal of requests that must run at most once.
 
-A key hashes to a slot, a slot is one object, and an entry may forward a
+A key hashes to a slot, and a slot is one stored object. An entry may forward a
 request only after its conditional update of the slot wrote `started` for the
-key. The version check is the fence: whoever was paused meanwhile loses the
-update, finds the record and does not run the request. Which entry usually
-writes a slot is a matter of speed, not of safety.
+key. The version check is the fence: an entry that was paused meanwhile fails
+to update the slot, finds the record and does not run the request. Which entry
+usually writes a slot matters for speed, not for safety.
 
-Keys are kept as digests, so the object says nothing about callers.
+Keys are stored as digests, so the object reveals nothing about callers.
 """
 
 import dataclasses
@@ -18,11 +18,12 @@
 
 from wayslip import refusals
 
+# Approximate size of a record without its answer's body.
 _OVERHEAD_BYTES = 320
 
 
 class State(enum.StrEnum):
-    """How far a request is known to have come."""
+    """The known state of a request."""
 
     STARTED = "started"
     DONE = "done"
@@ -32,9 +33,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """A kept answer; body is None when it was too large to keep."""
+    """A stored answer; body is None if it was too large to keep."""
 
-    # Pydantic configuration: JSON has no bytes, so they are written as base64.
+    # JSON has no byte strings, so pydantic writes them as base64.
     __pydantic_config__ = pydantic.ConfigDict(
         ser_json_bytes="base64", val_json_bytes="base64"
     )
@@ -46,13 +47,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Record:
-    """What is known of one key.
+    """The record of one key.
 
     Attributes:
         key: Digest of caller and key.
-        fingerprint: Digest of the request, to catch a reused key.
+        fingerprint: Digest of the request, to detect a reused key.
+        state: State of the request.
         runner: Incarnation of the entry that may run it.
-        at: When it was last changed, seconds of the wall clock.
+        at: When the record last changed, seconds of the wall clock.
+        answer: The stored answer, None without one.
     """
 
     key: str
@@ -64,21 +67,26 @@
 
     @property
     def size(self) -> int:
-        """About how many bytes it takes in the object."""
+        """Approximate size in the stored object, bytes."""
         kept = self.answer.body if self.answer else None
         return _OVERHEAD_BYTES + len(kept or b"") * 4 // 3
 
 
 @dataclasses.dataclass(frozen=True)
 class Segment:
-    """The records of one slot, by key digest."""
+    """The records of one slot, by key digest.
+
+    Attributes:
+        slot: Number of the slot.
+        records: Records by key digest.
+    """
 
     slot: int
     records: dict[str, Record] = dataclasses.field(default_factory=dict)
 
     @property
     def size(self) -> int:
-        """About how many bytes the segment takes."""
+        """Approximate size of all records, bytes."""
         return sum(r.size for r in self.records.values())
 
     def start(
@@ -86,8 +94,9 @@
     ) -> "Segment | Record | refusals.Refusal":
         """Returns the segment with a key started, or why it may not start.
 
-        A `Record` comes back when the key is known already: its result, or
-        that it runs elsewhere. Only a key known not to have run starts again.
+        A `Record` is returned if the key is already known: it has the result,
+        or shows that the request is running or that its result is unknown. Of
+        known keys, only one whose request has not run starts again.
         """
         known = self.records.get(key)
         if known is not None and known.fingerprint != fingerprint:
@@ -109,7 +118,11 @@
         answer: Answer | None,
         now: float,
     ) -> "Segment":
-        """Returns the segment with a runner's result for a key."""
+        """Returns the segment with a runner's result for a key.
+
+        The segment is unchanged if the key belongs to another runner or
+        already has a final state.
+        """
         known = self.records.get(key)
         if known is None or known.runner != runner:
             return self
@@ -122,8 +135,9 @@
     def expire(self, now: float, retention: float, limit: int) -> "Segment":
         """Returns the segment without records past their retention.
 
-        Where it is still over the limit, kept answers go, oldest first; the
-        records themselves stay, so a key is never forgotten early.
+        If it is still over the limit, the bodies of stored answers are
+        dropped, oldest first. The records themselves stay, so that a key is
+        kept for the whole retention.
         """
         records = {
             k: r for k, r in self.records.items() if now - r.at < retention
@@ -140,7 +154,7 @@
         return dataclasses.replace(self, records=records)
 
     def is_full(self, limit: int) -> bool:
-        """Whether one more record would go over the limit."""
+        """Whether one more record would exceed the limit."""
         return self.size + _OVERHEAD_BYTES > limit
 
     def _with(self, record: Record) -> "Segment":
@@ -150,13 +164,13 @@
 
 
 def digest_key(caller: str, key: str) -> str:
-    """Returns the digest under which a caller's key is kept."""
+    """Returns the digest under which a caller's key is stored."""
     text = f"{caller}\0{key}".encode()
     return hashlib.blake2b(text, digest_size=16).hexdigest()
 
 
 def digest_request(method: str, path: str, body: bytes) -> str:
-    """Returns a digest of what a request asks for."""
+    """Returns the digest of a request, its fingerprint."""
     head = f"{method}\0{path}\0".encode()
     return hashlib.blake2b(head + body, digest_size=16).hexdigest()
 
--- a/tests/decisions/test_backlog.py
+++ b/tests/decisions/test_backlog.py
@@ -1,4 +1,4 @@
-"""Prompts that wait, by priority."""
+"""Tests for the backlog of unread prompts by priority."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,8 +10,8 @@
 
 
 def test_urgent_request_does_not_wait_for_less_urgent_ones():
-    # 4 s of a routine batch made 126 urgent requests be refused that would
-    # have waited for 0.4 s (ctta scale-1, from second 3).
+    # Counting a batch of 4 s at a lower priority in full caused 126 urgent
+    # requests to be refused that would have waited for 0.4 s.
     waiting = backlog.add(
         backlog.of_request(2, 4.0), backlog.of_request(0, 0.2)
     )
--- a/tests/decisions/test_copy_sources.py
+++ b/tests/decisions/test_copy_sources.py
@@ -1,4 +1,4 @@
-"""Whom to ask for a configuration, and whom to refuse one."""
+"""Tests for the choice of a copy source and for refusing copies."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 
 def _count_holder_requests(count):
-    """Returns how many of a fleet ask the holder first."""
+    """Returns how many instances of a fleet ask the lease holder first."""
     rng = random.Random(3)
     holder = _PEERS[0]
     found = [
@@ -43,6 +43,6 @@
     while free_at is not None:
         times.append(free_at)
         free_at = copy_sources.plan_sending(free_at, 10.0, 130_000, 625_000.0)
-    # One of 0.13 MB takes 0.42 s of half a link of 5 Mbit/s.
+    # A copy of 0.13 MB takes 0.42 s of half a link of 5 Mbit/s.
     assert len(times) == 2
     assert copy_sources.plan_sending(times[-1], 10.2, 1, 1.0) is not None
--- a/tests/decisions/test_detachment.py
+++ b/tests/decisions/test_detachment.py
@@ -1,4 +1,4 @@
-"""When the holder may order engines while the store is away."""
+"""Tests for detached operation while the store is unreachable."""
 
 from wayslip.decisions import detachment
 
@@ -82,7 +82,8 @@
 
 
 def test_grant_ends_before_other_instances_stop_holding_off():
-    # Heard at 0 at the earliest, the last word of ours counts until ECHO.
+    # Other instances received the holder's last message at 0 or later; their
+    # answers to it are valid for STATUS_LIFETIME_SECONDS after it was sent.
     granted = detachment.Detachment(0.0, True)
     assert granted.judge(
         [disconnected(0.0)], False, detachment.STATUS_LIFETIME_SECONDS
--- a/tests/decisions/test_fanout.py
+++ b/tests/decisions/test_fanout.py
@@ -1,4 +1,4 @@
-"""Every instance hears a statement once, and no sender sends too often."""
+"""Tests that each instance gets a message once and senders send few."""
 
 import random
 
@@ -50,4 +50,4 @@
         frozenset(b.relay for b in fanout.plan(peers, rng)) for _ in range(5)
     ]
     assert len(set(relays)) == 5
-    assert all(len(h) == 9 for h in relays)
+    assert all(len(r) == 9 for r in relays)
--- a/tests/decisions/test_freshness.py
+++ b/tests/decisions/test_freshness.py
@@ -32,7 +32,7 @@
 
 def test_confirmation_of_a_newer_version_counts_once_it_is_held():
     known = make(held=3).confirm(3, 100.0).confirm(4, 103.0)
-    # What was known of version 3 stays true.
+    # The confirmation of version 3 stays valid.
     assert known.is_reliable(103.8)
     assert not known.is_reliable(104.5)
     assert known.hold(4).is_reliable(104.5)
@@ -52,9 +52,10 @@
     )
 )
 def test_no_version_is_reliable_after_being_replaced_for_the_bound(steps):
-    """One instance among changes, reads, word of a peer and pauses.
+    """Random changes, reads, confirmations by a peer and pauses.
 
-    A read shows the newest when it is sent; its answer may come much later.
+    A read shows the newest version when it is sent; its answer may arrive much
+    later.
     """
     now, newest, changed_at = 0.0, 1, {1: 0.0}
     known = make()
