--- a/src/wayslip/decisions/issued.py
+++ b/src/wayslip/decisions/issued.py
@@ -64,7 +64,7 @@
         if len(self._keys) + count > self._limit:
             return refusals.Refusal(
                 refusals.Reason.OVERLOADED,
-                "too many issued keys are outstanding; use those, or retry later",
+                "too many issued keys are pending; use those, or retry later",
                 30.0,
             )
         serials = range(self._next, self._next + count)
