--- a/tests/decisions/test_fanout.py
+++ b/tests/decisions/test_fanout.py
@@ -1,4 +1,4 @@
-"""Tests that each instance gets a message once and senders send few."""
+"""Tests that a message reaches each instance once and relays send few."""
 
 import random
 
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -95,7 +95,7 @@
     state = decoding.decode_state(
         {"seq": 1, "models": [], "coming": ["m1/a2@1"]}
     )
-    assert state.coming == {("m1", "a2")}
+    assert state.pending_loads == {("m1", "a2")}
 
 
 @pytest.mark.parametrize(
