--- a/src/wayslip/decisions/loading.py
+++ b/src/wayslip/decisions/loading.py
@@ -47,7 +47,7 @@
     # Upper bounds: the gain if the model could serve at once on an idle engine.
     bounds = sorted(
         (
-            (copy_value.gain(0.0, copies.BUSY_SHARE), m)
+            (copy_value.gain(0.0, copies.MAX_READING_SHARE), m)
             for m, copy_value in copy_values.items()
         ),
         reverse=True,
--- a/src/wayslip/decisions/suspicion.py
+++ b/src/wayslip/decisions/suspicion.py
@@ -46,7 +46,7 @@
     Attributes:
         content: Digest of the content; see `contents`.
         endpoint: Name of the endpoint that crashed.
-        born: Start time of its crashed incarnation; see `fleet.Start`.
+        born: Start time of its crashed incarnation; see `fleet.Incarnation`.
         depth: Suspicion depth of the content that its sender knew when it
             sent the request.
         reporter: The instance that sent the request.
@@ -62,9 +62,9 @@
     attempts: int = 1
 
     @property
-    def start(self) -> fleet.Start:
+    def start(self) -> fleet.Incarnation:
         """The incarnation that crashed."""
-        return fleet.Start(self.endpoint, self.born)
+        return fleet.Incarnation(self.endpoint, self.born)
 
 
 @dataclasses.dataclass
@@ -77,7 +77,7 @@
     """
 
     since: float
-    crash_records: dict[fleet.Start, dict[str, CrashRecord]] = (
+    crash_records: dict[fleet.Incarnation, dict[str, CrashRecord]] = (
         dataclasses.field(default_factory=dict)
     )
 
@@ -123,11 +123,11 @@
 
     def __init__(self) -> None:
         self._suspects: dict[bytes, _Suspect] = {}
-        self._at_start: dict[fleet.Start, set[bytes]] = {}
+        self._at_start: dict[fleet.Incarnation, set[bytes]] = {}
         # Contents that endpoints answered before, and when that became known.
         self._exempt: dict[bytes, float] = {}
         # Crash records that were cleared, and when.
-        self._cleared: dict[tuple[bytes, fleet.Start], float] = {}
+        self._cleared: dict[tuple[bytes, fleet.Incarnation], float] = {}
 
     def __bool__(self) -> bool:
         """Whether any content is under suspicion."""
@@ -276,7 +276,7 @@
         self._exempt = {c: t for c, t in self._exempt.items() if t > limit}
         return bool(old)
 
-    def _drop(self, content: bytes, start: fleet.Start) -> None:
+    def _drop(self, content: bytes, start: fleet.Incarnation) -> None:
         suspect = self._suspects.get(content)
         if suspect is None or start not in suspect.crash_records:
             return
@@ -289,7 +289,7 @@
         for start in self._suspects.pop(content).crash_records:
             self._unlink(content, start)
 
-    def _unlink(self, content: bytes, start: fleet.Start) -> None:
+    def _unlink(self, content: bytes, start: fleet.Incarnation) -> None:
         contents = self._at_start[start]
         contents.discard(content)
         if not contents:
--- a/src/wayslip/gateway/adapters.py
+++ b/src/wayslip/gateway/adapters.py
@@ -195,7 +195,7 @@
     ) -> bool:
         """Whether an engine is rate-limited or backing off."""
         endpoint = tracked_engine.endpoint
-        limit = self._notices.find_limit(endpoint.start)
+        limit = self._notices.find_limit(endpoint.incarnation)
         return limit is not None or self._notices.find_backoff(endpoint) > 0
 
     async def _carry_out(
--- a/src/wayslip/gateway/detached_operation.py
+++ b/src/wayslip/gateway/detached_operation.py
@@ -81,6 +81,6 @@
             doubtful=self._leadership.is_renewal_overdue,
             instances=len(statuses),
             oldest=f"{clock.now() - oldest:.2f}",
-            cut_off=sum(w.cut_off for w in statuses),
+            cut_off=sum(w.is_disconnected for w in statuses),
             missing=",".join(p.address for p in self.list_missing()),
         )
--- a/src/wayslip/gateway/order_sender.py
+++ b/src/wayslip/gateway/order_sender.py
@@ -348,7 +348,7 @@
         is_done = item not in known.items
     if is_done:
         return engines_module.OrderOutcome.HELD
-    if action is lease.Action.UNLOAD and item not in known.in_place:
+    if action is lease.Action.UNLOAD and item not in known.resident:
         return engines_module.OrderOutcome.REFUSED
     return None
 
--- a/src/wayslip/gateway/quarantine.py
+++ b/src/wayslip/gateway/quarantine.py
@@ -105,7 +105,7 @@
         self._answered: collections.OrderedDict[bytes, None] = (
             collections.OrderedDict()
         )
-        self._broken_attempts: dict[fleet.Start, _BrokenAttempts] = {}
+        self._broken_attempts: dict[fleet.Incarnation, _BrokenAttempts] = {}
         self._background_tasks = background.BackgroundTasks("quarantine_failed")
         self._blocked_contents = blocked_contents_module.BlockedContents(
             store, find_pause, self._add_records
@@ -195,7 +195,7 @@
         if endpoint.is_leaving:
             # Its process ends as planned, whatever requests are in progress.
             return
-        start = endpoint.start
+        start = endpoint.incarnation
         broken = self._broken_attempts.get(start)
         if broken is None:
             broken = _BrokenAttempts(clock.now())
@@ -216,7 +216,7 @@
 
     async def _probe_endpoint(
         self,
-        start: fleet.Start,
+        start: fleet.Incarnation,
         endpoint: fleet.Endpoint,
         open_connection: OpenConnection,
     ) -> None:
@@ -240,7 +240,7 @@
         finally:
             self._broken_attempts.pop(start, None)
 
-    def _record_crash(self, start: fleet.Start) -> None:
+    def _record_crash(self, start: fleet.Incarnation) -> None:
         """Records that an endpoint crashed and announces it."""
         broken = self._broken_attempts[start]
         crash_records = list(broken.crash_records.values())
--- a/src/wayslip/gateway/tracked_engines.py
+++ b/src/wayslip/gateway/tracked_engines.py
@@ -109,12 +109,12 @@
         """Returns the items in place that can be unloaded."""
         if self.inventory is None:
             return set()
-        return set(self.inventory.in_place - self.withdrawn)
+        return set(self.inventory.resident - self.withdrawn)
 
     def holds(self, item: Item) -> bool:
         """Whether an item is known to be in place and not being unloaded."""
         known = self.inventory
-        return self.is_certain and known is not None and item in known.in_place
+        return self.is_certain and known is not None and item in known.resident
 
     def lacks(self, item: Item) -> bool:
         """Whether an item is known to take no memory."""
@@ -160,9 +160,9 @@
             return True
         self.inventory = latest
         self.added = {
-            i: t for i, t in self.added.items() if i in latest.arriving
+            i: t for i, t in self.added.items() if i in latest.loading
         }
-        self.withdrawn -= latest.in_place
+        self.withdrawn -= latest.resident
         self._forget_withdrawn()
         return True
 
@@ -228,7 +228,7 @@
         """
         item = (order.model, order.adapter)
         known = self._find_inventory(order)
-        if known is None or item not in known.in_place:
+        if known is None or item not in known.resident:
             self.is_certain = False
             return
         self.inventory = known.drop(item)
@@ -294,8 +294,8 @@
         known = self.inventory
         if known is None:
             return name
-        plus = "+" if item in known.arriving else ""
-        minus = "-" if item in known.departing else ""
+        plus = "+" if item in known.loading else ""
+        minus = "-" if item in known.unloading else ""
         return name + plus + minus
 
     def describe(self) -> dict[str, Any]:
--- a/tests/gateway/test_adapters.py
+++ b/tests/gateway/test_adapters.py
@@ -48,7 +48,7 @@
 def test_adapter_is_not_loaded_ahead_on_a_rate_limited_engine():
     # Orders and reports would use the permits that requests need.
     notices = endpoint_notices_module.EndpointNotices()
-    start = test_order_sender.make_tracked_engine("m1").endpoint.start
+    start = test_order_sender.make_tracked_engine("m1").endpoint.incarnation
     notices.note_limit(start, 1.0, 0.0)
     assert preload(110.0, notices) == 0
     notices.note_limit(start, None, float("inf"))
--- a/tests/gateway/test_order_sender.py
+++ b/tests/gateway/test_order_sender.py
@@ -151,7 +151,7 @@
 
 def test_loading_adapters_take_slots_and_are_not_removable():
     tracked_engine = make_reported_engine(
-        1, "m1", coming=frozenset({("m1", "a7")})
+        1, "m1", pending_loads=frozenset({("m1", "a7")})
     )
     assert ("m1", "a7") in tracked_engine.charged()
     assert tracked_engine.removable() == {M1}
@@ -159,7 +159,9 @@
 
 def test_unload_answer_for_an_adapter_not_in_place_is_uncertain():
     a7 = ("m1", "a7")
-    tracked_engine = make_reported_engine(1, "m1", coming=frozenset({a7}))
+    tracked_engine = make_reported_engine(
+        1, "m1", pending_loads=frozenset({a7})
+    )
     tracked_engine.note_unloaded(unload(1, a7), NOW)
     assert not tracked_engine.is_certain
     assert a7 in tracked_engine.charged()
