--- a/src/wayslip/gateway/attempts.py
+++ b/src/wayslip/gateway/attempts.py
@@ -116,7 +116,7 @@
     ) -> retry.Failure | None:
         traits = job.traits
         endpoint = use.tracked.endpoint.name
-        order = dialect_module.Order(
+        parameters = dialect_module.SendParameters(
             endpoint=endpoint,
             seconds_left=job.deadline - clock.now(),
             priority=job.rank,
@@ -128,7 +128,7 @@
         job.is_sent = True
         sent_at = clock.now()
         connection.send(
-            self._dialect.format_request(job.exchange.request, order),
+            self._dialect.format_request(job.exchange.request, parameters),
             self._dialect.match_answer(traits.request_id, is_reused),
         )
         head = await connection.read_head()
@@ -150,7 +150,7 @@
                 endpoint=endpoint,
                 status=head.status,
                 load=answer.load,
-                rest="" if answer.rest is None else f"{answer.rest:.2f}",
+                rest="" if answer.backoff is None else f"{answer.backoff:.2f}",
             )
             self._note_refusal(job, use, answer)
             self._keep(endpoint, connection, head)
@@ -173,10 +173,10 @@
         self, job: jobs.Job, use: view_module.Use, answer: dialect_module.Answer
     ) -> None:
         traits = job.traits
-        if answer.rest is not None:
-            self._view.note_backoff(use, answer.rest)
+        if answer.backoff is not None:
+            self._view.note_backoff(use, answer.backoff)
         if answer.is_misdirected and traits.model:
-            self._view.tell(
+            self._view.note_item(
                 use.tracked.endpoint.name, traits.model, traits.adapter, False
             )
         elif answer.is_misdirected:
--- a/src/wayslip/gateway/daemon.py
+++ b/src/wayslip/gateway/daemon.py
@@ -402,7 +402,7 @@
         elif isinstance(message, facts.PermitRequest):
             self._permit_broker.answer(message, source)
         elif isinstance(message, facts.PermitResponse):
-            self._permit_broker.take_answer(message)
+            self._permit_broker.apply_response(message)
         elif isinstance(message, facts.Suspects):
             self._quarantine.take(message)
         elif isinstance(message, facts.Report) and message.lacks_list:
--- a/src/wayslip/gateway/dialect.py
+++ b/src/wayslip/gateway/dialect.py
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Order:
+class SendParameters:
     """How a request is to be sent to one endpoint.
 
     Attributes:
@@ -80,7 +80,7 @@
         is_misdirected: Whether another endpoint lives at the address.
         is_stream: Whether the body is a stream of events.
         is_leaving: Whether the endpoint says that it takes no new work.
-        rest: Seconds for which it wants nothing from us, None if it does not
+        backoff: Seconds for which it wants nothing from us, None if it does not
             say so.
         limit: Requests a second that it takes from all instances together,
             None if it names none.
@@ -92,7 +92,7 @@
     is_stream: bool
     is_leaving: bool = False
     load: fleet.Load | None = None
-    rest: float | None = None
+    backoff: float | None = None
     limit: float | None = None
 
 
@@ -102,7 +102,9 @@
     def read_request(self, request: messages.Request) -> Traits | None:
         """Returns a request's traits, None if it names no id."""
 
-    def format_request(self, request: messages.Request, order: Order) -> bytes:
+    def format_request(
+        self, request: messages.Request, parameters: SendParameters
+    ) -> bytes:
         """Returns the request as bytes for an endpoint."""
 
     def match_answer(
--- a/src/wayslip/gateway/endpoint_follower.py
+++ b/src/wayslip/gateway/endpoint_follower.py
@@ -161,7 +161,7 @@
                 # Connections to the start before say nothing more.
                 self._remove(endpoint.name)
             self._departed.pop(endpoint.name, None)
-            self._view.take(endpoint)
+            self._view.apply_entry(endpoint)
 
     def _forget(self, name: str) -> None:
         self._listed.discard(name)
--- a/src/wayslip/gateway/limits.py
+++ b/src/wayslip/gateway/limits.py
@@ -60,7 +60,7 @@
         self._reported_at = 0.0
 
     @property
-    def words(self) -> dict[str, quota_module.QuotaLevel]:
+    def levels(self) -> dict[str, quota_module.QuotaLevel]:
         """What the holder last told, by organisation."""
         return self._words
 
@@ -132,7 +132,7 @@
 
     # With the holder
 
-    def hear(self, state: facts.State) -> None:
+    def apply_state(self, state: facts.State) -> None:
         """Takes in what the holder tells of the quotas."""
         now = clock.now()
         is_new = state.term != self._term
--- a/src/wayslip/gateway/permit_broker.py
+++ b/src/wayslip/gateway/permit_broker.py
@@ -245,7 +245,7 @@
         )
         self._hub.send(told, source)
 
-    def take_answer(self, told: facts.PermitResponse) -> None:
+    def apply_response(self, told: facts.PermitResponse) -> None:
         """Takes in the holder's answer, unless it comes too late."""
         answer = self._asked.get(told.number)
         if answer is not None and not answer.done():
--- a/src/wayslip/gateway/placement.py
+++ b/src/wayslip/gateway/placement.py
@@ -280,7 +280,7 @@
             self.report_soon()
         self._last = state
         self._spoken = clock.now()
-        self._limiter.hear(state)
+        self._limiter.apply_state(state)
         if not state.is_holder:
             self._leadership.receive_yield(state.term)
             return
@@ -329,7 +329,7 @@
         loop.call_later(word.seconds, self._apply_word, word)
 
     def _apply_word(self, word: facts.ItemUpdate) -> None:
-        is_news = self._view.tell(
+        is_news = self._view.note_item(
             word.endpoint, word.model, word.adapter, word.is_held
         )
         if not is_news:
--- a/src/wayslip/gateway/quota_accounts.py
+++ b/src/wayslip/gateway/quota_accounts.py
@@ -77,9 +77,9 @@
         self._members.clear()
         self._levels = {
             name: quota_module.Level(word.level, now)
-            for name, word in self._limiter.words.items()
+            for name, word in self._limiter.levels.items()
         }
-        for name, word in self._limiter.words.items():
+        for name, word in self._limiter.levels.items():
             self._demand.set(name, word.demand, now)
 
     def take(self, report: facts.Report) -> None:
@@ -134,7 +134,7 @@
         if quota is None:
             return 0.0
         burst = self._allowance.stretch(quota.rate, quota.burst)
-        if self._limiter.words:
+        if self._limiter.levels:
             return burst
         return min(quota.rate * (now - self._began_at), burst)
 
--- a/src/wayslip/gateway/view.py
+++ b/src/wayslip/gateway/view.py
@@ -90,7 +90,7 @@
 
     # The list
 
-    def take(self, endpoint: fleet.Endpoint) -> None:
+    def apply_entry(self, endpoint: fleet.Endpoint) -> None:
         """Takes in an endpoint's entry, unless a newer one is known."""
         if endpoint.is_leaving:
             # The list may come back from a copy that does not say so yet.
@@ -149,7 +149,7 @@
         )
         tracked = self.tracked.get(start.endpoint)
         if tracked is not None:
-            self.take(tracked.endpoint)
+            self.apply_entry(tracked.endpoint)
         return True
 
     def remove(self, name: str) -> None:
@@ -169,7 +169,7 @@
         for name in [n for n in self.tracked if n not in listed]:
             self.remove(name)
         for endpoint in listed.values():
-            self.take(endpoint)
+            self.apply_entry(endpoint)
 
     def _log(self, event: str, endpoint: fleet.Endpoint) -> None:
         logs.event(
@@ -188,7 +188,9 @@
 
     # What is loaded
 
-    def tell(self, name: str, model: str, adapter: str, is_held: bool) -> bool:
+    def note_item(
+        self, name: str, model: str, adapter: str, is_held: bool
+    ) -> bool:
         """Takes word of an order; returns whether it was news."""
         now = clock.now()
         known = self._word.get((name, model, adapter))
--- a/src/wayslip/platform/dialect.py
+++ b/src/wayslip/platform/dialect.py
@@ -82,22 +82,22 @@
         )
 
     def format_request(
-        self, request: messages.Request, order: dialect.Order
+        self, request: messages.Request, parameters: dialect.SendParameters
     ) -> bytes:
         """Returns the request as bytes for an endpoint."""
-        milliseconds = max(int(order.seconds_left * 1000), 1)
-        priority = min(max(order.priority, 0), _LOWEST_PRIORITY)
+        milliseconds = max(int(parameters.seconds_left * 1000), 1)
+        priority = min(max(parameters.priority, 0), _LOWEST_PRIORITY)
         changes = [
             (_DEADLINE_MS, b"%d" % milliseconds),
-            (_TARGET, order.endpoint.encode("latin-1")),
+            (_TARGET, parameters.endpoint.encode("latin-1")),
             (_PRIORITY, b"%d" % priority),
         ]
-        if order.last_event_id:
+        if parameters.last_event_id:
             changes.append(
-                (_LAST_EVENT_ID, order.last_event_id.encode("latin-1"))
+                (_LAST_EVENT_ID, parameters.last_event_id.encode("latin-1"))
             )
-        if order.organisation:
-            name = order.organisation.encode("latin-1", "replace")
+        if parameters.organisation:
+            name = parameters.organisation.encode("latin-1", "replace")
             changes.append((_ORGANISATION, name))
         return messages.format_request(
             request, tuple(changes), _find_forged(request.headers)
@@ -132,7 +132,7 @@
             is_stream=head.header(_CONTENT_TYPE).startswith(_EVENT_STREAM),
             is_leaving=head.header(_LEAVING).strip() == b"1",
             load=_read_load(head.header(_LOAD)),
-            rest=_read_rest(head),
+            backoff=_read_rest(head),
             limit=_read_limit(head),
         )
 
--- a/tests/gateway/test_endpoint_follower.py
+++ b/tests/gateway/test_endpoint_follower.py
@@ -49,10 +49,12 @@
     # endpoint that was known to be leaving got requests again.
     endpoints = view.EndpointView("h")
     old = fleet.Endpoint("e1", "s", "127.0.0.1:1", "h", beat=7)
-    endpoints.take(dataclasses.replace(old, is_leaving=True, beat=8))
-    endpoints.take(old)
+    endpoints.apply_entry(dataclasses.replace(old, is_leaving=True, beat=8))
+    endpoints.apply_entry(old)
     assert endpoints.tracked["e1"].endpoint.is_leaving
-    endpoints.take(dataclasses.replace(old, is_leaving=True, beat=8, slots=3))
+    endpoints.apply_entry(
+        dataclasses.replace(old, is_leaving=True, beat=8, slots=3)
+    )
     assert endpoints.tracked["e1"].endpoint.slots == 3
 
 
--- a/tests/gateway/test_suspended.py
+++ b/tests/gateway/test_suspended.py
@@ -79,8 +79,8 @@
 async def test_word_of_an_order_is_over(system):
     view = view_module.EndpointView("hall-1")
     endpoint = fleet.Endpoint("e1", "models", "127.0.0.1:1", "hall-1")
-    view.take(endpoint)
-    view.tell("e1", "m1", "", True)
+    view.apply_entry(endpoint)
+    view.note_item("e1", "m1", "", True)
     assert view.holds(endpoint, "m1", "")
     with suspend(10.0):
         assert not view.holds(endpoint, "m1", "")
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -51,7 +51,7 @@
 
 
 def test_request_is_formatted_for_one_endpoint():
-    order = dialect.Order("i-7", 1.25, 2, "9")
+    parameters = dialect.SendParameters("i-7", 1.25, 2, "9")
     data = DIALECT.format_request(
         request(
             wayslip_request_id="r1",
@@ -62,7 +62,7 @@
             x_kept="2",
             content_length="4",
         ),
-        order,
+        parameters,
     )
     text, _, body = data.partition(b"\r\n\r\n")
     lines = text.split(b"\r\n")
@@ -94,7 +94,7 @@
             kv_fetch="10.0.0.1:80",
             x_kept="2",
         ),
-        dialect.Order("i-7", 1.0, 2),
+        dialect.SendParameters("i-7", 1.0, 2),
     )
     names = {line.partition(b":")[0] for line in data.split(b"\r\n")[1:]}
     assert names >= {
@@ -161,8 +161,8 @@
     forged = dataclasses.replace(
         asked, headers=(*asked.headers, (name, b"forged"))
     )
-    order = dialect.Order("i-7", 1.0, 0, organisation="shop")
-    data = DIALECT.format_request(forged, order).lower()
+    parameters = dialect.SendParameters("i-7", 1.0, 0, organisation="shop")
+    data = DIALECT.format_request(forged, parameters).lower()
     assert b"forged" not in data and b"secret-1" not in data
     assert data.count(b"wayslip-tenant: shop\r\n") == 1
 
@@ -217,13 +217,13 @@
     answer = DIALECT.read_answer(
         head(503, wayslip_not_executed="1", retry_after=text)
     )
-    assert answer.rest == seconds
+    assert answer.backoff == seconds
 
 
 def test_rest_is_asked_for_by_refusals_alone():
-    assert DIALECT.read_answer(head(503, retry_after="3")).rest is None
+    assert DIALECT.read_answer(head(503, retry_after="3")).backoff is None
     refusal = head(429, wayslip_not_executed="1", retry_after="3")
-    assert DIALECT.read_answer(refusal).rest is None
+    assert DIALECT.read_answer(refusal).backoff is None
 
 
 @pytest.mark.parametrize(
--- a/tests/stateful/quota_world.py
+++ b/tests/stateful/quota_world.py
@@ -256,7 +256,7 @@
                     target.accounts.take(message)
             elif message.term >= target.term:
                 target.term, target.holder = message.term, message.revision
-                target.limiter.hear(message)
+                target.limiter.apply_state(message)
 
     # What counts
 
--- a/tests/stateful/test_restarts.py
+++ b/tests/stateful/test_restarts.py
@@ -30,16 +30,16 @@
 
 def test_new_start_ends_what_was_known_of_the_one_before():
     endpoints = view.EndpointView("h")
-    endpoints.take(_OLD)
-    endpoints.tell("e1", "m3", "", True)
+    endpoints.apply_entry(_OLD)
+    endpoints.note_item("e1", "m3", "", True)
     assert endpoints.holds_anywhere("s", "m1")
     before = endpoints.tracked["e1"]
-    endpoints.take(_NEW)
+    endpoints.apply_entry(_NEW)
     assert not endpoints.holds_anywhere("s", "m1")
     assert not endpoints.holds_anywhere("s", "m3")
     assert before.is_gone
     # What an earlier start said comes late, with a higher count of its own.
-    endpoints.take(_OLD)
+    endpoints.apply_entry(_OLD)
     assert endpoints.tracked["e1"].endpoint is _NEW
 
 
