--- a/src/wayslip/gateway/attempts.py
+++ b/src/wayslip/gateway/attempts.py
@@ -23,10 +23,10 @@
 _LOG = logging.getLogger(__name__)
 # Connecting inside a region takes 2 ms; a dropped packet is sent again after
 # a few hundred. Beyond this the endpoint is taken as dark, seconds.
-CONNECT_SECONDS = 0.4
+CONNECT_TIMEOUT_SECONDS = 0.4
 # An answer up to this size is read whole before it is passed on, so that one
 # that breaks off can be asked for again, bytes.
-_WHOLE_BYTES = 256 * 1024
+_MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class Attempts:
@@ -36,7 +36,7 @@
         self,
         dialect: dialect_module.Dialect,
         view: view_module.EndpointView,
-        endings: jobs.Endings,
+        responder: jobs.Responder,
         metrics: metrics_module.Metrics,
         quarantine: quarantine_module.Quarantine,
         report_leaving: Callable[[fleet.Endpoint], None],
@@ -47,7 +47,7 @@
         Args:
             dialect: Reads answers and writes headers.
             view: Of the endpoints.
-            endings: End requests.
+            responder: End requests.
             metrics: Where outcomes are counted.
             quarantine: Knows requests that end endpoints.
             report_leaving: Is given an endpoint that says it takes no new work.
@@ -58,9 +58,9 @@
         self._quarantine = quarantine
         self._dialect = dialect
         self._view = view
-        self._endings = endings
+        self._responder = responder
         self._metrics = metrics
-        self.pool = pool_module.Pool(CONNECT_SECONDS)
+        self.pool = pool_module.Pool(CONNECT_TIMEOUT_SECONDS)
 
     async def make(
         self, job: jobs.Job, choice: selection.Choice
@@ -68,7 +68,7 @@
         """Sends a request to one endpoint; returns None once answered."""
         job.endpoint = choice.name
         tracked = self._view.tracked[choice.name]
-        use = self._view.begin(choice.name, job.traits, job.rank)
+        active = self._view.begin(choice.name, job.traits, job.rank)
         depth = self._find_depth(job)
         connection = self.pool.take(choice.name)
         is_reused = connection is not None
@@ -76,12 +76,12 @@
             if connection is None:
                 address = addresses.split_address(tracked.endpoint.address)
                 connection = await self.pool.open(address)
-            return await self._exchange(job, use, connection, is_reused)
+            return await self._exchange(job, active, connection, is_reused)
         except errors.NotSentError:
-            self._view.note_miss(use)
+            self._view.note_failed_attempt(active)
             return retry.Failure.NOT_SENT
         except errors.EndpointError as e:
-            self._view.note_miss(use)
+            self._view.note_failed_attempt(active)
             logs.event(
                 _LOG,
                 "attempt_unclear",
@@ -91,31 +91,33 @@
                 reused=is_reused,
                 reason=e.reason,
             )
-            job.breaks += 1
+            job.broken_attempts += 1
             self._quarantine.note_broken_attempt(
                 tracked.endpoint, job.content, depth, self.pool.open
             )
             return retry.Failure.UNCLEAR
         finally:
-            self._view.end(use)
+            self._view.end(active)
             if connection is not None and not connection.is_kept:
                 connection.close()
 
     def _find_depth(self, job: jobs.Job) -> int:
         """Returns how deep a request is in suspicion as it is sent."""
         if not self._quarantine:
-            return job.breaks
-        return max(self._quarantine.find_depth(job.content), job.breaks)
+            return job.broken_attempts
+        return max(
+            self._quarantine.find_depth(job.content), job.broken_attempts
+        )
 
     async def _exchange(
         self,
         job: jobs.Job,
-        use: view_module.Use,
+        active: view_module.ActiveRequest,
         connection: client.Connection,
         is_reused: bool,
     ) -> retry.Failure | None:
         traits = job.traits
-        endpoint = use.tracked.endpoint.name
+        endpoint = active.tracked.endpoint.name
         parameters = dialect_module.SendParameters(
             endpoint=endpoint,
             seconds_left=job.deadline - clock.now(),
@@ -132,17 +134,17 @@
             self._dialect.match_answer(traits.request_id, is_reused),
         )
         head = await connection.read_head()
-        self._view.hear(use)
+        self._view.note_bytes(active)
         answer = self._dialect.read_answer(head)
         if answer.is_leaving:
-            self._report_leaving(use.tracked.endpoint)
+            self._report_leaving(active.tracked.endpoint)
         if answer.limit is not None or answer.is_genuine:
             # What is not the endpoint's own tells of no end.
             self._permit_broker.note_answer(
-                use.tracked.endpoint, answer.limit, sent_at
+                active.tracked.endpoint, answer.limit, sent_at
             )
         if answer.is_refusal:
-            await self._read_rest(connection)
+            await self._read_body(connection)
             logs.event(
                 _LOG,
                 "endpoint_refused",
@@ -152,8 +154,8 @@
                 load=answer.load,
                 rest="" if answer.backoff is None else f"{answer.backoff:.2f}",
             )
-            self._note_refusal(job, use, answer)
-            self._keep(endpoint, connection, head)
+            self._note_refusal(job, active, answer)
+            self._return_to_pool(endpoint, connection, head)
             return retry.Failure.REFUSED
         if not answer.is_genuine:
             raise errors.EndpointUnclearError(
@@ -161,34 +163,40 @@
                 "see the endpoint's log",
             )
         if answer.is_stream and head.status < 300:
-            failure = await self._relay(job, use, connection, head)
+            failure = await self._forward_stream(job, active, connection, head)
         else:
-            failure = await self._pass_on(job, use, connection, head)
+            failure = await self._forward(job, active, connection, head)
         if failure is None:
-            self._keep(endpoint, connection, head)
+            self._return_to_pool(endpoint, connection, head)
         self._quarantine.note_answer(job.content)
         return failure
 
     def _note_refusal(
-        self, job: jobs.Job, use: view_module.Use, answer: dialect_module.Answer
+        self,
+        job: jobs.Job,
+        active: view_module.ActiveRequest,
+        answer: dialect_module.Answer,
     ) -> None:
         traits = job.traits
         if answer.backoff is not None:
-            self._view.note_backoff(use, answer.backoff)
+            self._view.note_backoff(active, answer.backoff)
         if answer.is_misdirected and traits.model:
             self._view.note_item(
-                use.tracked.endpoint.name, traits.model, traits.adapter, False
+                active.tracked.endpoint.name,
+                traits.model,
+                traits.adapter,
+                False,
             )
         elif answer.is_misdirected:
-            self._view.note_miss(use)
+            self._view.note_failed_attempt(active)
 
-    def _keep(
+    def _return_to_pool(
         self, endpoint: str, connection: client.Connection, head: messages.Head
     ) -> None:
         connection.is_kept = True
         self.pool.give_back(endpoint, connection, head.header(b"keep-alive"))
 
-    async def _read_rest(self, connection: client.Connection) -> bytes:
+    async def _read_body(self, connection: client.Connection) -> bytes:
         parts = []
         while part := await connection.read():
             parts.append(part)
@@ -196,10 +204,10 @@
 
     # Answers
 
-    async def _pass_on(
+    async def _forward(
         self,
         job: jobs.Job,
-        use: view_module.Use,
+        active: view_module.ActiveRequest,
         connection: client.Connection,
         head: messages.Head,
     ) -> retry.Failure | None:
@@ -210,22 +218,22 @@
         while part := await connection.read():
             parts.append(part)
             size += len(part)
-            if size > _WHOLE_BYTES:
-                await self._pass_on_large(job, connection, head, parts)
-                self._view.note_answer(use, False)
+            if size > _MAX_BUFFERED_BYTES:
+                await self._forward_large(job, connection, head, parts)
+                self._view.note_answer(active, False)
                 return None
         body = b"".join(parts)
         is_failure = head.status >= 500
-        self._view.note_answer(use, is_failure)
+        self._view.note_answer(active, is_failure)
         if is_failure and job.route.may_repeat:
             job.fallback = (head, body)
             return retry.Failure.UNCLEAR
         job.relayed = True
-        self._endings.end_job(job, "answered", head.status)
+        self._responder.record_job_outcome(job, "answered", head.status)
         job.exchange.answer(head.status, headers, body)
         return None
 
-    async def _pass_on_large(
+    async def _forward_large(
         self,
         job: jobs.Job,
         connection: client.Connection,
@@ -238,13 +246,13 @@
         await job.exchange.send(b"".join(parts))
         while part := await connection.read():
             await job.exchange.send(part)
-        self._endings.end_job(job, "answered", head.status)
+        self._responder.record_job_outcome(job, "answered", head.status)
         job.exchange.finish()
 
-    async def _relay(
+    async def _forward_stream(
         self,
         job: jobs.Job,
-        use: view_module.Use,
+        active: view_module.ActiveRequest,
         connection: client.Connection,
         head: messages.Head,
     ) -> retry.Failure | None:
@@ -253,18 +261,18 @@
         The head is held back until the first event, so that a stream that
         breaks off before can still be answered or sent elsewhere.
         """
-        job.splitter.drop_rest()
+        job.splitter.drop_remainder()
         while part := await connection.read():
-            self._view.hear(use)
+            self._view.note_bytes(active)
             whole = job.splitter.feed(part)
             if not whole:
                 continue
             self._start_stream(job, head)
             await job.exchange.send(whole)
-        self._view.note_answer(use, False)
+        self._view.note_answer(active, False)
         self._start_stream(job, head)
-        await job.exchange.send(job.splitter.rest)
-        self._endings.end_job(job, "answered", head.status)
+        await job.exchange.send(job.splitter.remainder)
+        self._responder.record_job_outcome(job, "answered", head.status)
         job.exchange.finish()
         return None
 
--- a/src/wayslip/gateway/backoff.py
+++ b/src/wayslip/gateway/backoff.py
@@ -15,16 +15,16 @@
 
 # A rest is waited for if it is shorter than this many latency targets, so that
 # the answer can still be in time, and than this share of the time left.
-_TARGET_SHARE = 0.5
-_LEFT_SHARE = 0.9
+_MAX_WAIT_TARGETS = 0.5
+_MAX_WAIT_SHARE = 0.9
 # The return of those who are refused is spread over this, seconds: not all in
 # the moment in which an endpoint has rested.
-_RETURN_SPREAD = 0.5
+_RETURN_JITTER_SECONDS = 0.5
 # Returns to endpoints with limits are spread over this much at most, seconds:
 # most clients have less time than that.
-_RETURN_MOST = 10.0
+_MAX_RETURN_SPREAD_SECONDS = 10.0
 # Models whose returns are kept apart; the oldest are forgotten.
-_MODELS_MOST = 1000
+_MAX_MODELS = 1000
 
 
 class EndpointBackoff:
@@ -38,16 +38,18 @@
         self._view = view
         self._count_instances = count_instances
         # When the last client was told to return, by service and model.
-        self._returns: collections.OrderedDict[tuple[str, str], float] = (
+        self._last_returns: collections.OrderedDict[tuple[str, str], float] = (
             collections.OrderedDict()
         )
 
-    def is_due(self, job: jobs.Job) -> bool:
+    def is_backing_off(self, job: jobs.Job) -> bool:
         """Whether endpoints hold what a request needs, and all rest."""
-        return bool(self._find(job, job.tried))
+        return bool(self._find_backoff(job, job.tried))
 
-    def _find(self, job: jobs.Job, besides: frozenset[str]) -> float | None:
-        return self._view.find_backoff(job.service.name, job.traits, besides)
+    def _find_backoff(
+        self, job: jobs.Job, excluded: frozenset[str]
+    ) -> float | None:
+        return self._view.find_backoff(job.service.name, job.traits, excluded)
 
     async def wait(self, job: jobs.Job) -> bool:
         """Waits for the first one to have rested, if that is soon.
@@ -55,45 +57,47 @@
         Returns:
             Whether one may have, and should be looked for.
         """
-        rest = self._find(job, job.tried)
-        if rest is None or rest > self.find_max_wait(job):
+        backoff_seconds = self._find_backoff(job, job.tried)
+        if backoff_seconds is None or backoff_seconds > self.find_max_wait(job):
             return False
-        await asyncio.sleep(rest)
+        await asyncio.sleep(backoff_seconds)
         return True
 
     def find_max_wait(self, job: jobs.Job) -> float:
         """Returns the seconds that a request can still wait to be sent."""
         now = clock.now()
-        in_time = job.route.target * _TARGET_SHARE - (now - job.began)
-        return max(min((job.deadline - now) * _LEFT_SHARE, in_time), 0.0)
+        in_time = job.route.target * _MAX_WAIT_TARGETS - (now - job.began)
+        return max(min((job.deadline - now) * _MAX_WAIT_SHARE, in_time), 0.0)
 
-    def find_return(self, job: jobs.Job) -> float | None:
+    def find_retry_after(self, job: jobs.Job) -> float | None:
         """Returns the seconds after which a client should come back.
 
         Returns:
             None if not all that could serve it rest.
         """
         # Those that turned it away now may take it then.
-        rest = self._find(job, frozenset())
-        if not rest:
+        backoff_seconds = self._find_backoff(job, frozenset())
+        if not backoff_seconds:
             return None
         limit = self._view.find_limit(job.service.name, job.traits)
         if limit is None:
-            return rest + random.uniform(0, _RETURN_SPREAD)
-        return self._find_place(job, rest, limit)
+            return backoff_seconds + random.uniform(0, _RETURN_JITTER_SECONDS)
+        return self._find_permit_time(job, backoff_seconds, limit)
 
-    def _find_place(self, job: jobs.Job, rest: float, limit: float) -> float:
+    def _find_permit_time(
+        self, job: jobs.Job, backoff_seconds: float, limit: float
+    ) -> float:
         """Returns the seconds until a place is free that nobody was told of.
 
         Every instance tells its clients of an even part of the places.
         """
         key = (job.service.name, job.traits.model)
-        first = clock.now() + rest
-        space = self._count_instances() / max(limit, permits.LEAST_RATE)
-        at = max(first, self._returns.pop(key, 0.0) + space)
-        if at > first + _RETURN_MOST:
-            at = first + random.uniform(0, _RETURN_MOST)
-        self._returns[key] = at
-        if len(self._returns) > _MODELS_MOST:
-            self._returns.popitem(last=False)
+        first = clock.now() + backoff_seconds
+        interval = self._count_instances() / max(limit, permits.LEAST_RATE)
+        at = max(first, self._last_returns.pop(key, 0.0) + interval)
+        if at > first + _MAX_RETURN_SPREAD_SECONDS:
+            at = first + random.uniform(0, _MAX_RETURN_SPREAD_SECONDS)
+        self._last_returns[key] = at
+        if len(self._last_returns) > _MAX_MODELS:
+            self._last_returns.popitem(last=False)
         return at - clock.now()
--- a/src/wayslip/gateway/endpoint_chooser.py
+++ b/src/wayslip/gateway/endpoint_chooser.py
@@ -20,23 +20,23 @@
 
 _LOG = logging.getLogger(__name__)
 # Told where no endpoint of a plain service is known, seconds.
-_UNKNOWN_RETRY_AFTER = 1.0
+_UNKNOWN_RETRY_AFTER_SECONDS = 1.0
 # The same for a model that nobody loads yet: the planner begins within a
 # moment, and a load takes two seconds from an engine's disk and nine from the
 # weight store, so that who comes back after one second is refused again.
-_LOAD_RETRY_AFTER = 2.5
+_LOAD_RETRY_AFTER_SECONDS = 2.5
 # Share of the time that a client has left after which it comes back at the
 # latest, whatever it is told; from the operators' pages.
-_RETURN_MOST = 1 / 3
+_MAX_RETRY_AFTER_SHARE = 1 / 3
 # A request is refused if it would wait for more than this share of the time
 # that is left, or for more than this many times its latency target. A queue
 # that is longer makes everybody late; refused at once, most can be answered
 # in time when they come back. Waits are overestimated: of those predicted at
 # 1.0 to 1.25 targets a fifth was late, at 2.5 targets half.
-_WAIT_SHARE = 0.9
-_TARGET_SHARE = 2.0
+_MAX_WAIT_SHARE = 0.9
+_MAX_WAIT_TARGETS = 2.0
 # One that is refused so should find about half a target's queue, targets.
-_RETURN_SHARE = 0.5
+_REMAINING_WAIT_TARGETS = 0.5
 
 
 class EndpointChooser:
@@ -48,7 +48,7 @@
         view: view_module.EndpointView,
         placement: placement_module.Placement,
         permit_broker: permit_broker_module.PermitBroker,
-        endings: jobs.Endings,
+        responder: jobs.Responder,
         metrics: metrics_module.Metrics,
         has_idle: Callable[[str], bool],
     ) -> None:
@@ -59,21 +59,21 @@
             view: Of the endpoints.
             placement: Has models loaded.
             permit_broker: At endpoints that name a limit.
-            endings: End requests.
+            responder: End requests.
             metrics: Where the age of what is known is counted.
             has_idle: Whether a connection to an endpoint is idle.
         """
         self._view = view
         self._placement = placement
         self._permit_broker = permit_broker
-        self._endings = endings
+        self._responder = responder
         self._metrics = metrics
         self._has_idle = has_idle
         self._endpoint_backoff = backoff.EndpointBackoff(
             view, lambda: placement.instances
         )
         self._rng = random.Random()
-        self._patience = wait_policies.WAIT_POLICIES.get(options.max_wait)
+        self._wait_policy = wait_policies.WAIT_POLICIES.get(options.max_wait)
 
     async def find(self, job: jobs.Job) -> selection.Choice | None:
         """Returns an endpoint that the request may be sent to now.
@@ -83,16 +83,16 @@
         """
         while True:
             choice = await self._find(job)
-            if choice is None or await self._take_place(job, choice):
+            if choice is None or await self._take_permit(job, choice):
                 return choice
 
-    def find_return(self, job: jobs.Job) -> float | None:
+    def find_retry_after(self, job: jobs.Job) -> float | None:
         """Returns the seconds after which a client should come back.
 
         Returns:
             None if nothing says when; see `resting`.
         """
-        return self._endpoint_backoff.find_return(job)
+        return self._endpoint_backoff.find_retry_after(job)
 
     async def _find(self, job: jobs.Job) -> selection.Choice | None:
         """Returns an endpoint; answers the request if there is none."""
@@ -102,18 +102,18 @@
         if choice is None and self._may_be_loaded(job):
             choice = await self._wait_for_model(job)
         if choice is None:
-            self._refuse_missing(job)
+            self._refuse_unavailable(job)
             return None
         left = job.deadline - clock.now()
         target = job.route.target
-        limit = min(left * _WAIT_SHARE, target * _TARGET_SHARE)
+        limit = min(left * _MAX_WAIT_SHARE, target * _MAX_WAIT_TARGETS)
         if choice.wait > limit and not job.progress.may_have_run:
-            drained = choice.wait - target * _RETURN_SHARE
-            self._endings.refuse_job(job, "too_long_a_wait", drained)
+            retry_after = choice.wait - target * _REMAINING_WAIT_TARGETS
+            self._responder.refuse_job(job, "too_long_a_wait", retry_after)
             return None
         return choice
 
-    async def _take_place(
+    async def _take_permit(
         self, job: jobs.Job, choice: selection.Choice
     ) -> bool:
         """Takes a place in an endpoint's limit, if it names one.
@@ -128,7 +128,7 @@
             endpoint, max_wait, job.traits.request_id
         )
         if not verdict.is_granted:
-            self._view.notices.note_spent(endpoint, verdict.wait)
+            self._view.notices.note_exhausted(endpoint, verdict.wait)
             return False
         if verdict.wait:
             await asyncio.sleep(verdict.wait)
@@ -166,23 +166,25 @@
 
     def _may_be_loaded(self, job: jobs.Job) -> bool:
         """Whether a load could help: no endpoint that rests has the model."""
-        return bool(job.traits.model) and not self._endpoint_backoff.is_due(job)
+        return bool(
+            job.traits.model
+        ) and not self._endpoint_backoff.is_backing_off(job)
 
     async def _wait_for_model(self, job: jobs.Job) -> selection.Choice | None:
         """Has a model or adapter loaded; waits while that is worth it."""
         while not job.progress.attempts:
-            left = self._find_patience(job)
+            left = self._find_max_load_wait(job)
             if left <= 0:
                 return None
-            is_told = await self._placement.want(
+            is_changed = await self._placement.want(
                 job.service.name, job.traits, left
             )
             choice = self._choose(job)
-            if choice is not None or not is_told:
+            if choice is not None or not is_changed:
                 return choice
         return None
 
-    def _find_patience(self, job: jobs.Job) -> float:
+    def _find_max_load_wait(self, job: jobs.Job) -> float:
         """Returns for how long a request should wait for its model."""
         now = clock.now()
         situation = wait_policies.Situation(
@@ -191,7 +193,7 @@
             expected=self._placement.expect(job.service.name, job.traits),
             lacks_adapter_only=self._lacks_adapter_only(job),
         )
-        return self._patience(situation)
+        return self._wait_policy(situation)
 
     def _lacks_adapter_only(self, job: jobs.Job) -> bool:
         """Whether an engine holds the model, but not the adapter."""
@@ -200,22 +202,28 @@
             job.service.name, traits.model
         )
 
-    def _refuse_missing(self, job: jobs.Job) -> None:
+    def _refuse_unavailable(self, job: jobs.Job) -> None:
         if job.relayed or job.progress.may_have_run:
-            self._endings.answer_verdict(job, retry.Verdict.UNKNOWN)
+            self._responder.answer_verdict(job, retry.Verdict.UNKNOWN)
             return
         wait = self._placement.expect(job.service.name, job.traits)
         reason = "not_loaded" if job.traits.model else "no_endpoint"
-        rest = self._endpoint_backoff.find_return(job)
-        if rest is not None:
+        backoff_seconds = self._endpoint_backoff.find_retry_after(job)
+        if backoff_seconds is not None:
             reason = "endpoints_rest"
-            wait = rest if wait is None else min(wait, rest)
+            wait = (
+                backoff_seconds if wait is None else min(wait, backoff_seconds)
+            )
         if wait is None:
             is_missing = bool(job.traits.model)
-            wait = _LOAD_RETRY_AFTER if is_missing else _UNKNOWN_RETRY_AFTER
+            wait = (
+                _LOAD_RETRY_AFTER_SECONDS
+                if is_missing
+                else _UNKNOWN_RETRY_AFTER_SECONDS
+            )
             if can_wait_for_load(job):
                 wait = _find_load_time(job)
-        self._endings.refuse_job(job, reason, wait)
+        self._responder.refuse_job(job, reason, wait)
 
 
 def _find_load_time(job: jobs.Job) -> float:
@@ -232,5 +240,8 @@
     then for as long as the request may wait for a model that is on its way.
     """
     left = job.deadline - job.began
-    longest = left * _RETURN_MOST + job.route.target * wait_policies.SURE_SHARE
-    return 0.0 < _find_load_time(job) <= longest
+    max_wait = (
+        left * _MAX_RETRY_AFTER_SHARE
+        + job.route.target * wait_policies.SURE_SHARE
+    )
+    return 0.0 < _find_load_time(job) <= max_wait
--- a/src/wayslip/gateway/endpoint_notices.py
+++ b/src/wayslip/gateway/endpoint_notices.py
@@ -12,7 +12,7 @@
 from wayslip.decisions import fleet
 
 # Starts whose words are kept; the oldest are forgotten.
-_STARTS_MOST = 2000
+_MAX_STARTS = 2000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -21,11 +21,11 @@
 
     Attributes:
         rate: Requests a second.
-        heard_at: When it was last named, steady seconds.
+        received_at: When it was last named, steady seconds.
     """
 
     rate: float
-    heard_at: float
+    received_at: float
 
 
 class EndpointNotices:
@@ -33,9 +33,9 @@
 
     def __init__(self) -> None:
         self._leaving: dict[fleet.Start, float] = {}
-        self._rests: dict[fleet.Start, float] = {}
+        self._backoffs: dict[fleet.Start, float] = {}
         # Until when all places of a limited endpoint are taken.
-        self._spent: dict[fleet.Start, float] = {}
+        self._exhausted: dict[fleet.Start, float] = {}
         self._limits: dict[fleet.Start, _Limit] = {}
 
     def note_leaving(self, start: fleet.Start) -> bool:
@@ -50,7 +50,7 @@
         if start in self._leaving:
             return False
         self._leaving[start] = clock.now()
-        if len(self._leaving) > _STARTS_MOST:
+        if len(self._leaving) > _MAX_STARTS:
             del self._leaving[next(iter(self._leaving))]
         return True
 
@@ -63,27 +63,27 @@
         start = endpoint.start
         until = clock.now() + seconds
         # One asked for earlier may last longer.
-        self._rests[start] = max(until, self._rests.get(start, until))
-        if len(self._rests) > _STARTS_MOST:
-            del self._rests[next(iter(self._rests))]
+        self._backoffs[start] = max(until, self._backoffs.get(start, until))
+        if len(self._backoffs) > _MAX_STARTS:
+            del self._backoffs[next(iter(self._backoffs))]
 
-    def note_spent(self, endpoint: fleet.Endpoint, seconds: float) -> None:
+    def note_exhausted(self, endpoint: fleet.Endpoint, seconds: float) -> None:
         """Notes that all places of a limited endpoint are taken for a while."""
-        self._spent[endpoint.start] = clock.now() + seconds
-        if len(self._spent) > _STARTS_MOST:
-            del self._spent[next(iter(self._spent))]
+        self._exhausted[endpoint.start] = clock.now() + seconds
+        if len(self._exhausted) > _MAX_STARTS:
+            del self._exhausted[next(iter(self._exhausted))]
 
     def find_backoff(self, endpoint: fleet.Endpoint) -> float:
         """Returns the seconds for which an endpoint wants nothing from us."""
-        return _find_left(self._rests, endpoint.start)
+        return _find_left(self._backoffs, endpoint.start)
 
     def find_pause(self, endpoint: fleet.Endpoint) -> float:
         """Returns the seconds until an endpoint may take a request of ours.
 
         It asked for rest, or all places in its limit are taken.
         """
-        spent = _find_left(self._spent, endpoint.start)
-        return max(self.find_backoff(endpoint), spent)
+        exhausted = _find_left(self._exhausted, endpoint.start)
+        return max(self.find_backoff(endpoint), exhausted)
 
     # Limits
 
@@ -107,20 +107,20 @@
         known = self._limits.get(start)
         if known is None and rate is None:
             return False
-        if known is not None and sent_at < known.heard_at:
+        if known is not None and sent_at < known.received_at:
             allows_more = rate is None or rate >= known.rate
             if allows_more:
                 return False
-        is_news = known is None or known.rate != rate
-        if is_news:
-            self._spent.pop(start, None)
+        is_new = known is None or known.rate != rate
+        if is_new:
+            self._exhausted.pop(start, None)
         if rate is None:
             del self._limits[start]
             return True
         self._limits[start] = _Limit(rate, clock.now())
-        if len(self._limits) > _STARTS_MOST:
+        if len(self._limits) > _MAX_STARTS:
             del self._limits[next(iter(self._limits))]
-        return is_news
+        return is_new
 
     def find_limit(self, start: fleet.Start) -> float | None:
         """Returns the requests a second that an endpoint takes from all.
--- a/src/wayslip/gateway/events.py
+++ b/src/wayslip/gateway/events.py
@@ -12,24 +12,24 @@
 
     def __init__(self, last_id: str = "") -> None:
         self.last_id = last_id
-        self._rest = b""
+        self._remainder = b""
 
     def feed(self, data: bytes) -> bytes:
         """Returns all bytes up to the end of the last whole event."""
-        self._rest += data
-        end = _find_end(self._rest)
-        whole, self._rest = self._rest[:end], self._rest[end:]
+        self._remainder += data
+        end = _find_end(self._remainder)
+        whole, self._remainder = self._remainder[:end], self._remainder[end:]
         self._note_ids(whole)
         return whole
 
-    def drop_rest(self) -> None:
+    def drop_remainder(self) -> None:
         """Drops a part of an event whose rest will not come."""
-        self._rest = b""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes after the last whole event."""
-        return self._rest
+        return self._remainder
 
     def _note_ids(self, whole: bytes) -> None:
         for line in reversed(whole.splitlines()):
--- a/src/wayslip/gateway/jobs.py
+++ b/src/wayslip/gateway/jobs.py
@@ -19,7 +19,7 @@
 _LOG = logging.getLogger(__name__)
 # The shortest time that a client is told to stay away, seconds: some round
 # trips, so that what refused it can have changed.
-SHORTEST_RETRY_AFTER = 0.1
+MIN_RETRY_AFTER_SECONDS = 0.1
 
 
 @dataclasses.dataclass
@@ -36,8 +36,8 @@
         units: That its quota was charged.
         is_sent: Whether an endpoint may run it now, or has.
         rank: Its urgency, 0 is the most urgent.
-        breaks: Attempts that broke off.
-        is_trial: Whether it is sent though its content is condemned.
+        broken_attempts: Attempts that broke off.
+        is_probe: Whether it is sent though its content is condemned.
     """
 
     exchange: server.Exchange
@@ -48,7 +48,7 @@
     deadline: float
     progress: retry.Progress
     splitter: events.EventSplitter
-    misses: int = 0
+    unreachable_count: int = 0
     tried: frozenset[str] = frozenset()
     endpoint: str = ""
     relayed: bool = False
@@ -59,8 +59,8 @@
     units: float = 0.0
     is_sent: bool = False
     rank: int = 0
-    breaks: int = 0
-    is_trial: bool = False
+    broken_attempts: int = 0
+    is_probe: bool = False
 
     @functools.cached_property
     def content(self) -> bytes:
@@ -76,7 +76,7 @@
         )
 
 
-class Endings:
+class Responder:
     """Ends requests, with a log line each."""
 
     def __init__(
@@ -91,7 +91,7 @@
         self,
         job: Job,
         verdict: retry.Verdict,
-        wait: float = SHORTEST_RETRY_AFTER,
+        wait: float = MIN_RETRY_AFTER_SECONDS,
     ) -> None:
         """Answers a request that no further attempt is made at.
 
@@ -101,12 +101,12 @@
             wait: Seconds until it can be, if it was not.
         """
         if job.relayed:
-            self.end_job(job, "broken_off", 0)
+            self.record_job_outcome(job, "broken_off", 0)
             job.exchange.abort()
             return
         if job.fallback is not None:
             head, body = job.fallback
-            self.end_job(job, "endpoint_failed", head.status)
+            self.record_job_outcome(job, "endpoint_failed", head.status)
             job.exchange.answer(
                 head.status, messages.find_end_to_end(head.headers), body
             )
@@ -114,7 +114,7 @@
         if verdict is retry.Verdict.NOT_RUN:
             self.refuse_job(job, "not_taken", wait)
             return
-        self.end_job(job, "unclear", 502)
+        self.record_job_outcome(job, "unclear", 502)
         job.exchange.answer(502, (), b"the endpoint broke off\n")
 
     def time_out(self, job: Job) -> None:
@@ -122,36 +122,38 @@
         if job.exchange.is_finished:
             return
         if job.exchange.is_started:
-            self.end_job(job, "stream_timed_out", 0)
+            self.record_job_outcome(job, "stream_timed_out", 0)
             job.exchange.abort()
         elif job.endpoint:
-            self.end_job(job, "timed_out", 504)
+            self.record_job_outcome(job, "timed_out", 504)
             job.exchange.answer(504, (), b"no answer in time\n")
         else:
-            self.refuse_job(job, "timed_out_waiting", SHORTEST_RETRY_AFTER)
+            self.refuse_job(job, "timed_out_waiting", MIN_RETRY_AFTER_SECONDS)
 
     def refuse_job(
         self, job: Job, reason: str, wait: float, status: int = 503
     ) -> None:
         """Says that a request was not run, and when to come back."""
-        self.end_job(job, reason, status, f"{wait:.2f}")
+        self.record_job_outcome(job, reason, status, f"{wait:.2f}")
         self._metrics.count("refused", reason=reason)
         headers = self._dialect.make_retry_after(
-            max(wait, SHORTEST_RETRY_AFTER)
+            max(wait, MIN_RETRY_AFTER_SECONDS)
         )
         job.exchange.answer(status, headers, b"not run, come back later\n")
 
     def refuse_content(self, job: Job, wait: float) -> None:
         """Says that a request ended endpoints and was not run again."""
         reason = "ends_endpoints"
-        self.end_job(job, reason, 503, f"{wait:.2f}", job.content.hex())
+        self.record_job_outcome(
+            job, reason, 503, f"{wait:.2f}", job.content.hex()
+        )
         self._metrics.count("refused", reason=reason)
         headers = self._dialect.make_retry_after(wait)
         job.exchange.answer(503, headers, b"not run: engines ended under it\n")
 
     def deny_job(self, job: Job, reason: str) -> None:
         """Says for good that a request's key lets nobody in."""
-        self.end_job(job, reason, 401)
+        self.record_job_outcome(job, reason, 401)
         self._metrics.count("refused", reason=reason)
         job.exchange.answer(401, (), b"send a key that is in force\n")
 
@@ -163,7 +165,7 @@
         headers = self._dialect.make_retry_after(wait)
         exchange.answer(503, headers, b"not run, come back later\n")
 
-    def end_job(
+    def record_job_outcome(
         self,
         job: Job,
         outcome: str,
@@ -172,7 +174,7 @@
         content: str = "",
     ) -> None:
         """Logs and counts the end of a job."""
-        self.end(
+        self.record_outcome(
             job.traits.request_id,
             outcome,
             status,
@@ -188,7 +190,7 @@
             content=content,
         )
 
-    def end(
+    def record_outcome(
         self,
         request_id: str,
         outcome: str,
--- a/src/wayslip/gateway/lag.py
+++ b/src/wayslip/gateway/lag.py
@@ -14,27 +14,27 @@
 
 _LOG = logging.getLogger(__name__)
 # Between looks, seconds: a look costs 0.02 ms.
-_LOOK_SECONDS = 0.1
+_SAMPLE_INTERVAL_SECONDS = 0.1
 # Less than this between two looks is what reading two clocks takes, seconds.
-_SUSPENDED_SECONDS = 0.05
+_MIN_SUSPENSION_SECONDS = 0.05
 NAME = "loop_lag"
 
 
 async def observe(metrics: metrics_module.Metrics) -> None:
     """Measures until it is cancelled."""
     latency = metrics.latency(NAME)
-    known = clock.find_suspended()
+    previous = clock.find_suspended()
     while True:
-        due = clock.now() + _LOOK_SECONDS
-        await asyncio.sleep(_LOOK_SECONDS)
+        due = clock.now() + _SAMPLE_INTERVAL_SECONDS
+        await asyncio.sleep(_SAMPLE_INTERVAL_SECONDS)
         latency.observe(max(clock.now() - due, 0.0))
         suspended = clock.find_suspended()
-        if suspended - known > _SUSPENDED_SECONDS:
+        if suspended - previous > _MIN_SUSPENSION_SECONDS:
             logs.event(
                 _LOG,
                 "machine_was_suspended",
                 logging.WARNING,
-                seconds=f"{suspended - known:.3f}",
+                seconds=f"{suspended - previous:.3f}",
             )
             metrics.count("suspensions")
-        known = suspended
+        previous = suspended
--- a/src/wayslip/gateway/limits.py
+++ b/src/wayslip/gateway/limits.py
@@ -10,22 +10,22 @@
 from wayslip.gateway import facts
 
 # Part of a told level that an instance sends on before it reports at once.
-_UNREPORTED_PART = 0.08
+_MAX_UNREPORTED_SHARE = 0.08
 # Between reports that are given for that, seconds.
-_HASTE_SECONDS = 0.08
+_MIN_EARLY_REPORT_SECONDS = 0.08
 # Sums are told again for so long after their last change, seconds: several
 # reports, so that a lost one delays an account and does not falsify it.
-_TOLD_SECONDS = 2.0
+_REPORT_REPEAT_SECONDS = 2.0
 
 
 @dataclasses.dataclass
-class _Sums:
+class _UsageSums:
     """What an instance was asked and has sent on, since its start, in units.
 
     Attributes:
         reported: `used` as last reported.
-        at_word: The same when the holder was last heard: what its word counts.
-        known: `at_word` when a holder with a new term was first heard.
+        counted: The same when the holder was last heard: what its level counts.
+        known: `counted` when a holder with a new term was first heard.
         changed_at: When one of the sums last changed.
         unreported: Sent on since the last report.
     """
@@ -33,7 +33,7 @@
     asked: float = 0.0
     used: float = 0.0
     reported: float = 0.0
-    at_word: float = 0.0
+    counted: float = 0.0
     known: float = 0.0
     changed_at: float = 0.0
     unreported: float = 0.0
@@ -50,19 +50,19 @@
         self._holder = holder
         self._allowance = allowance
         self._shares: dict[str, quota_module.Share] = {}
-        self._sums: dict[str, _Sums] = {}
-        self._own: demand_module.Rates[str] = demand_module.Rates(
+        self._sums: dict[str, _UsageSums] = {}
+        self._demand: demand_module.Rates[str] = demand_module.Rates(
             quota_module.FADING_SECONDS
         )
-        self._words: dict[str, quota_module.QuotaLevel] = {}
+        self._levels: dict[str, quota_module.QuotaLevel] = {}
         self._term = 0
-        self._heard_at: float | None = None
+        self._received_at: float | None = None
         self._reported_at = 0.0
 
     @property
     def levels(self) -> dict[str, quota_module.QuotaLevel]:
         """What the holder last told, by organisation."""
-        return self._words
+        return self._levels
 
     def admit(
         self, organisation: organisations.Organisation, units: float
@@ -77,8 +77,8 @@
         if not quota.is_limited:
             return None
         now = clock.now()
-        self._own.add(name, units, now)
-        sums = self._sums.setdefault(name, _Sums())
+        self._demand.add(name, units, now)
+        sums = self._sums.setdefault(name, _UsageSums())
         sums.asked += units
         sums.changed_at = now
         share = self._find_share(name, quota, now)
@@ -88,7 +88,7 @@
         self._spend(name, units)
         return None
 
-    def give_back(
+    def refund(
         self, organisation: organisations.Organisation, units: float
     ) -> None:
         """Returns the units of a request that was not run after all."""
@@ -110,25 +110,25 @@
         burst = self._allowance.stretch(quota.rate, quota.burst)
         if share is None:
             share = quota_module.Share.begin(quota.rate, burst, now)
-            word = self._find_word(name, quota)
-            if word is not None:
-                share = share.hear(word, self._heard_at or now)
+            quota_level = self._find_level(name, quota)
+            if quota_level is not None:
+                share = share.hear(quota_level, self._received_at or now)
         elif (share.rate, share.burst) != (quota.rate, burst):
             credit = min(share.credit, burst)
             share = dataclasses.replace(
                 share, rate=quota.rate, burst=burst, credit=credit
             )
-        own = self._own.get(name, now)
+        own = self._demand.get(name, now)
         return dataclasses.replace(share.settle(now), own=own)
 
-    def _find_word(
+    def _find_level(
         self, name: str, quota: organisations.Quota
     ) -> quota_module.QuotaLevel | None:
         """Returns what was told; an organisation not told of has its burst."""
-        if self._heard_at is None:
+        if self._received_at is None:
             return None
         burst = self._allowance.stretch(quota.rate, quota.burst)
-        return self._words.get(name, quota_module.QuotaLevel(burst, 0.0))
+        return self._levels.get(name, quota_module.QuotaLevel(burst, 0.0))
 
     # With the holder
 
@@ -138,11 +138,11 @@
         is_new = state.term != self._term
         for sums in self._sums.values():
             if is_new:
-                sums.known = sums.at_word
-            sums.at_word = sums.reported
+                sums.known = sums.counted
+            sums.counted = sums.reported
         self._term = state.term
-        self._heard_at = now
-        self._words = {
+        self._received_at = now
+        self._levels = {
             w.organisation: quota_module.QuotaLevel(w.level, w.demand)
             for w in state.levels
         }
@@ -151,22 +151,22 @@
             share = self._shares.get(one.name)
             if share is None or not one.quota.is_limited:
                 continue
-            word = self._find_word(one.name, one.quota)
-            assert word is not None
+            quota_level = self._find_level(one.name, one.quota)
+            assert quota_level is not None
             found = self._find_share(one.name, one.quota, now)
-            self._shares[one.name] = found.hear(word, now)
+            self._shares[one.name] = found.hear(quota_level, now)
 
     @property
     def is_report_due(self) -> bool:
         """Whether so much was sent on that the holder should hear it now."""
         now = clock.now()
-        if now - self._reported_at < _HASTE_SECONDS:
+        if now - self._reported_at < _MIN_EARLY_REPORT_SECONDS:
             return False
         return any(
             share.is_free
             and share.word is not None
             and self._sums[name].unreported
-            > share.word.level * _UNREPORTED_PART
+            > share.word.level * _MAX_UNREPORTED_SHARE
             for name, share in self._shares.items()
         )
 
@@ -178,7 +178,7 @@
         for name, sums in self._sums.items():
             sums.unreported = 0.0
             sums.reported = sums.used
-            if now - sums.changed_at < _TOLD_SECONDS:
+            if now - sums.changed_at < _REPORT_REPEAT_SECONDS:
                 found.append(
                     facts.Spending(
                         name,
--- a/src/wayslip/gateway/pages.py
+++ b/src/wayslip/gateway/pages.py
@@ -65,8 +65,8 @@
 def _refuse(
     exchange: server.Exchange, status: int, reason: str, remedy: str
 ) -> None:
-    told = {"reason": reason, "remedy": remedy}
-    exchange.answer(status, _JSON, json.dumps(told).encode())
+    body = {"reason": reason, "remedy": remedy}
+    exchange.answer(status, _JSON, json.dumps(body).encode())
 
 
 @_PAGES.register("/suspects/lift")
@@ -89,5 +89,5 @@
 
 
 @_PAGES.register(copy_client.PATH)
-async def _hand_on(pages: Pages, exchange: server.Exchange) -> None:
+async def _serve_copy(pages: Pages, exchange: server.Exchange) -> None:
     await pages.distribution.answer(exchange)
--- a/src/wayslip/gateway/permit_broker.py
+++ b/src/wayslip/gateway/permit_broker.py
@@ -24,16 +24,16 @@
 _LOG = logging.getLogger(__name__)
 # The holder's answer is waited for this long, seconds: a trip there and back,
 # and a plan that it is at work on.
-_ANSWER_SECONDS = 0.1
+_RESPONSE_TIMEOUT_SECONDS = 0.1
 # An endpoint that is left to other instances is looked at again after this,
 # seconds.
-_LEFT_SECONDS = 1.0
+_EXCLUDED_RETRY_SECONDS = 1.0
 # Accounts that are kept; the oldest are forgotten.
-_ACCOUNTS_MOST = 2000
+_MAX_BUCKETS = 2000
 _DRAW_BYTES = 4
 
 
-class _Accounts:
+class _Buckets:
     """Accounts of endpoints, by their starts."""
 
     def __init__(self, burst: float) -> None:
@@ -43,31 +43,31 @@
             burst: Places that each saves up at most.
         """
         self._burst = burst
-        self._accounts: dict[fleet.Start, permits.PermitBucket] = {}
+        self._buckets: dict[fleet.Start, permits.PermitBucket] = {}
 
     def take(
         self, start: fleet.Start, rate: float, max_wait: float
     ) -> permits.Verdict:
         """Takes a place of an endpoint under a limit."""
         now = clock.now()
-        account = self._accounts.pop(start, None)
-        if account is None:
-            account = permits.PermitBucket.begin(rate, now, self._burst)
-        elif account.rate != rate:
-            account = account.change_rate(rate, now)
-        account, verdict = account.take(max_wait, now)
-        self._accounts[start] = account
-        if len(self._accounts) > _ACCOUNTS_MOST:
-            del self._accounts[next(iter(self._accounts))]
+        bucket = self._buckets.pop(start, None)
+        if bucket is None:
+            bucket = permits.PermitBucket.begin(rate, now, self._burst)
+        elif bucket.rate != rate:
+            bucket = bucket.change_rate(rate, now)
+        bucket, verdict = bucket.take(max_wait, now)
+        self._buckets[start] = bucket
+        if len(self._buckets) > _MAX_BUCKETS:
+            del self._buckets[next(iter(self._buckets))]
         return verdict
 
-    def begin_anew(self, start: fleet.Start) -> None:
+    def discard(self, start: fleet.Start) -> None:
         """Forgets what an endpoint's account has saved up."""
-        self._accounts.pop(start, None)
+        self._buckets.pop(start, None)
 
     def clear(self) -> None:
         """Forgets all."""
-        self._accounts.clear()
+        self._buckets.clear()
 
 
 class PermitBroker:
@@ -80,7 +80,7 @@
         hub: hub_module.Hub,
         leadership: leadership_module.Leadership,
         peer_broadcast: peer_broadcast_module.PeerBroadcast,
-        hears_holder: Callable[[], bool],
+        has_holder_contact: Callable[[], bool],
         count_instances: Callable[[], int],
     ) -> None:
         """Initializes without any limit.
@@ -91,22 +91,22 @@
             hub: Sends datagrams.
             leadership: Knows the lease's holder.
             peer_broadcast: Whom news concerns.
-            hears_holder: Whether the holder was heard a moment ago.
+            has_holder_contact: Whether the holder was heard a moment ago.
             count_instances: Returns how many instances there are.
         """
         self._name = name
-        self._words = notices
+        self._notices = notices
         self._hub = hub
         self._leadership = leadership
         self._peer_broadcast = peer_broadcast
-        self._hears_holder = hears_holder
+        self._has_holder_contact = has_holder_contact
         self._count_instances = count_instances
-        self._given = _Accounts(permits.BURST)
-        self._calls = _Accounts(1.0)
+        self._granted = _Buckets(permits.BURST)
+        self._calls = _Buckets(1.0)
         # By ourselves, while no holder is heard.
-        self._own = _Accounts(1.0)
-        self._asked: dict[int, asyncio.Future[permits.Verdict]] = {}
-        self._number = 0
+        self._local = _Buckets(1.0)
+        self._pending: dict[int, asyncio.Future[permits.Verdict]] = {}
+        self._last_number = 0
 
     # What endpoints say
 
@@ -124,19 +124,19 @@
             sent_at: When its request was sent, steady seconds.
         """
         start = endpoint.start
-        if not self._words.note_limit(start, limit, sent_at):
+        if not self._notices.note_limit(start, limit, sent_at):
             return
         self._log(start, limit, self._name)
-        told = facts.Limited(start.endpoint, start.born, limit)
-        self._peer_broadcast.spread(told)
+        update = facts.Limited(start.endpoint, start.born, limit)
+        self._peer_broadcast.spread(update)
 
-    def apply_update(self, told: facts.Limited, source: str) -> None:
+    def apply_update(self, update: facts.Limited, source: str) -> None:
         """Takes in what another instance heard."""
-        start = fleet.Start(told.endpoint, told.born)
-        if not self._words.note_limit(start, told.limit, clock.now()):
+        start = fleet.Start(update.endpoint, update.born)
+        if not self._notices.note_limit(start, update.limit, clock.now()):
             return
-        self._log(start, told.limit, source)
-        self._peer_broadcast.pass_on(told)
+        self._log(start, update.limit, source)
+        self._peer_broadcast.pass_on(update)
 
     def _log(
         self, start: fleet.Start, limit: float | None, source: str
@@ -165,7 +165,7 @@
         Returns:
             A verdict; a place that is granted is spent.
         """
-        limit = self._words.find_limit(endpoint.start)
+        limit = self._notices.find_limit(endpoint.start)
         if limit is None:
             return permits.FREE
         verdict, source = await self._decide(endpoint.start, limit, max_wait)
@@ -186,87 +186,89 @@
         self, start: fleet.Start, limit: float, max_wait: float
     ) -> tuple[permits.Verdict, str]:
         if self._leadership.is_held:
-            return self._given.take(start, limit, max_wait), "own"
-        if self._hears_holder():
-            verdict = await self._ask(start, limit, max_wait)
+            return self._granted.take(start, limit, max_wait), "own"
+        if self._has_holder_contact():
+            verdict = await self._request_permit(start, limit, max_wait)
             if verdict is not None:
                 # Our part is saved up from when the holder falls silent.
-                self._own.begin_anew(start)
+                self._local.discard(start)
                 return verdict, "holder"
-        return self._take_part(start, limit, max_wait), "part"
+        return self._take_from_share(start, limit, max_wait), "part"
 
-    async def _ask(
+    async def _request_permit(
         self, start: fleet.Start, limit: float, max_wait: float
     ) -> permits.Verdict | None:
         """Asks the holder; returns None if it does not answer."""
         holder = self._leadership.holder_address
         if holder is None:
             return None
-        self._number += 1
-        number = self._number
+        self._last_number += 1
+        number = self._last_number
         answer = asyncio.get_running_loop().create_future()
-        self._asked[number] = answer
-        ask = facts.PermitRequest(
+        self._pending[number] = answer
+        request = facts.PermitRequest(
             number, start.endpoint, start.born, limit, max_wait
         )
-        self._hub.send(ask, addresses.split_address(holder))
+        self._hub.send(request, addresses.split_address(holder))
         try:
-            async with asyncio.timeout(_ANSWER_SECONDS):
+            async with asyncio.timeout(_RESPONSE_TIMEOUT_SECONDS):
                 return await answer
         except TimeoutError:
             return None
         finally:
-            del self._asked[number]
+            del self._pending[number]
 
-    def _take_part(
+    def _take_from_share(
         self, start: fleet.Start, limit: float, max_wait: float
     ) -> permits.Verdict:
         """Takes a place of our own part of a limit."""
         draw = _draw(self._name, start)
-        part = permits.find_part(limit, self._count_instances(), draw)
-        if part is None:
-            return permits.Verdict(False, _LEFT_SECONDS)
-        return self._own.take(start, part, max_wait)
+        share = permits.find_part(limit, self._count_instances(), draw)
+        if share is None:
+            return permits.Verdict(False, _EXCLUDED_RETRY_SECONDS)
+        return self._local.take(start, share, max_wait)
 
     # Giving
 
     def answer(
-        self, ask: facts.PermitRequest, source: hub_module.Address
+        self, request: facts.PermitRequest, source: hub_module.Address
     ) -> None:
         """Answers another instance, if we hold the lease."""
         if not self._leadership.is_held:
             return
-        start = fleet.Start(ask.endpoint, ask.born)
-        known = self._words.find_limit(start)
-        limit = ask.limit if known is None else min(ask.limit, known)
-        verdict = self._given.take(start, limit, ask.max_wait)
-        told = facts.PermitResponse(
-            ask.number, verdict.is_granted, verdict.wait
+        start = fleet.Start(request.endpoint, request.born)
+        known = self._notices.find_limit(start)
+        limit = request.limit if known is None else min(request.limit, known)
+        verdict = self._granted.take(start, limit, request.max_wait)
+        response = facts.PermitResponse(
+            request.number, verdict.is_granted, verdict.wait
         )
-        self._hub.send(told, source)
+        self._hub.send(response, source)
 
-    def apply_response(self, told: facts.PermitResponse) -> None:
+    def apply_response(self, response: facts.PermitResponse) -> None:
         """Takes in the holder's answer, unless it comes too late."""
-        answer = self._asked.get(told.number)
+        answer = self._pending.get(response.number)
         if answer is not None and not answer.done():
-            answer.set_result(permits.Verdict(told.is_granted, told.wait))
+            answer.set_result(
+                permits.Verdict(response.is_granted, response.wait)
+            )
 
     def begin_term(self) -> None:
         """Begins to give places out, as a new holder."""
-        self._given.clear()
+        self._granted.clear()
 
     def may_call(self, endpoint: fleet.Endpoint) -> bool:
         """Whether the holder may send a report or an order now.
 
         The place is spent then.
         """
-        limit = self._words.find_limit(endpoint.start)
+        limit = self._notices.find_limit(endpoint.start)
         if limit is None:
             return True
         share = max(limit, permits.LEAST_RATE) * permits.CALLS_SHARE
         may_call = (
             self._calls.take(endpoint.start, share, 0.0).is_granted
-            and self._given.take(endpoint.start, limit, 0.0).is_granted
+            and self._granted.take(endpoint.start, limit, 0.0).is_granted
         )
         if not may_call:
             logs.event(
--- a/src/wayslip/gateway/prefixes.py
+++ b/src/wayslip/gateway/prefixes.py
@@ -9,7 +9,7 @@
 from wayslip.gateway import dialect
 
 # Chains of parts remembered for one engine, least recently used dropped.
-_KEPT = 512
+_MAX_CHAINS = 512
 
 
 class PrefixTable:
@@ -44,7 +44,7 @@
             chain = f"{chain},{part.id}"
             known[chain] = None
             known.move_to_end(chain)
-        while len(known) > _KEPT:
+        while len(known) > _MAX_CHAINS:
             known.popitem(last=False)
 
     def forget(self, engine: str) -> None:
--- a/src/wayslip/gateway/requests.py
+++ b/src/wayslip/gateway/requests.py
@@ -30,9 +30,9 @@
 
 _LOG = logging.getLogger(__name__)
 # Endpoints that could not be reached before the request is given up.
-_MISSES = 3
+_MAX_UNREACHABLE = 3
 # Told where the configuration in force is not known, seconds.
-_UNKNOWN_RETRY_AFTER = 1.0
+_UNKNOWN_RETRY_AFTER_SECONDS = 1.0
 
 
 class Requests:
@@ -46,7 +46,7 @@
         view: view_module.EndpointView,
         placement: placement_module.Placement,
         metrics: metrics_module.Metrics,
-        find_sight: Callable[[], access.ConfigurationStatus],
+        find_configuration_status: Callable[[], access.ConfigurationStatus],
         limiter: limits_module.Limiter,
         quarantine: quarantine_module.Quarantine,
         report_leaving: Callable[[fleet.Endpoint], None],
@@ -61,25 +61,26 @@
             view: Of the endpoints.
             placement: Has models loaded.
             metrics: Where outcomes are counted.
-            find_sight: Returns what is known of the configuration in force.
+            find_configuration_status: Returns what is known of the
+                configuration in force.
             limiter: Of organisations' quotas.
             quarantine: Knows requests that end endpoints.
             report_leaving: Is given an endpoint that says it takes no new work.
             permit_broker: At endpoints that name a limit.
         """
         self._quarantine = quarantine
-        self._find_sight = find_sight
+        self._find_configuration_status = find_configuration_status
         self._limiter = limiter
         self._dialect = dialect
         self._holder = holder
         self._view = view
         self._placement = placement
         self._metrics = metrics
-        self._endings = jobs.Endings(dialect, metrics)
+        self._responder = jobs.Responder(dialect, metrics)
         self._attempts = attempts.Attempts(
             dialect,
             view,
-            self._endings,
+            self._responder,
             metrics,
             quarantine,
             report_leaving,
@@ -90,7 +91,7 @@
             view,
             placement,
             permit_broker,
-            self._endings,
+            self._responder,
             metrics,
             self._attempts.pool.has_idle,
         )
@@ -116,8 +117,8 @@
         traits = self._dialect.read_request(exchange.request)
         manifest = self._holder.manifest
         if manifest is None:
-            self._endings.refuse(
-                exchange, "no_configuration", _UNKNOWN_RETRY_AFTER
+            self._responder.refuse(
+                exchange, "no_configuration", _UNKNOWN_RETRY_AFTER_SECONDS
             )
             return
         if traits is None:
@@ -134,13 +135,13 @@
             async with asyncio.timeout(job.deadline - clock.now()):
                 await self._serve_job(job)
         except TimeoutError:
-            self._endings.time_out(job)
+            self._responder.time_out(job)
         except asyncio.CancelledError:
-            self._endings.end_job(job, "client_left", 0)
+            self._responder.record_job_outcome(job, "client_left", 0)
             raise
         finally:
             if job.caller is not None and not job.is_sent:
-                self._limiter.give_back(job.caller, job.units)
+                self._limiter.refund(job.caller, job.units)
 
     def _answer_unknown_route(
         self, exchange: server.Exchange, request_id: str, began: float
@@ -150,13 +151,15 @@
         A client takes 404 as final. Where a newer configuration may be there,
         it may have the route, and the client is to come back.
         """
-        if self._find_sight().is_newest:
-            self._endings.end(request_id, "no_route", 404, began)
+        if self._find_configuration_status().is_newest:
+            self._responder.record_outcome(request_id, "no_route", 404, began)
             exchange.answer(404, (), b"no route has this host and path\n")
             return
-        self._endings.end(request_id, "old_configuration", 503, began)
-        self._endings.refuse(
-            exchange, "old_configuration", _UNKNOWN_RETRY_AFTER
+        self._responder.record_outcome(
+            request_id, "old_configuration", 503, began
+        )
+        self._responder.refuse(
+            exchange, "old_configuration", _UNKNOWN_RETRY_AFTER_SECONDS
         )
 
     def _make_job(
@@ -194,18 +197,23 @@
         manifest = self._holder.manifest
         assert manifest is not None
         verdict, caller = access.judge(
-            manifest, job.route, job.traits.key, self._find_sight()
+            manifest,
+            job.route,
+            job.traits.key,
+            self._find_configuration_status(),
         )
         if verdict is access.Verdict.ALLOWED:
             job.caller = caller
             job.rank = urgency.rank(self._urgency, manifest, job.route, caller)
             return True
         if job.relayed or job.progress.may_have_run:
-            self._endings.answer_verdict(job, retry.Verdict.UNKNOWN)
+            self._responder.answer_verdict(job, retry.Verdict.UNKNOWN)
         elif verdict is access.Verdict.UNKNOWN_KEY:
-            self._endings.deny_job(job, verdict)
+            self._responder.deny_job(job, verdict)
         else:
-            self._endings.refuse_job(job, verdict, _UNKNOWN_RETRY_AFTER)
+            self._responder.refuse_job(
+                job, verdict, _UNKNOWN_RETRY_AFTER_SECONDS
+            )
         return False
 
     def _check_quota(self, job: jobs.Job) -> bool:
@@ -220,7 +228,7 @@
             if self._limiter.is_report_due:
                 self._placement.report_soon()
             return True
-        self._endings.refuse_job(job, "over_quota", wait, 429)
+        self._responder.refuse_job(job, "over_quota", wait, 429)
         return False
 
     def _check_content(self, job: jobs.Job) -> bool:
@@ -234,14 +242,14 @@
             return True
         if not self._quarantine.is_blocked(job.content):
             return True
-        job.is_trial = job.is_trial or self._quarantine.begin_trial(job.content)
-        if job.is_trial and not job.progress.attempts:
+        job.is_probe = job.is_probe or self._quarantine.begin_trial(job.content)
+        if job.is_probe and not job.progress.attempts:
             return True
         if job.relayed or job.progress.may_have_run:
-            self._endings.answer_verdict(job, retry.Verdict.UNKNOWN)
+            self._responder.answer_verdict(job, retry.Verdict.UNKNOWN)
             return False
         wait = self._quarantine.find_left(job.content)
-        self._endings.refuse_content(job, wait)
+        self._responder.refuse_content(job, wait)
         return False
 
     def _budget(self, service: str) -> budget_module.Budget:
@@ -279,16 +287,16 @@
             job.tried |= {choice.name}
             if failure is not retry.Failure.UNCLEAR:
                 job.is_sent = job.progress.may_have_run
-            if not self._go_on(job, choice.name, failure):
+            if not self._retry_or_answer(job, choice.name, failure):
                 return
 
-    def _go_on(
+    def _retry_or_answer(
         self, job: jobs.Job, endpoint: str, failure: retry.Failure
     ) -> bool:
         """Decides whether another attempt follows; else answers."""
         if failure is retry.Failure.NOT_SENT:
-            job.misses += 1
-            if job.misses <= _MISSES:
+            job.unreachable_count += 1
+            if job.unreachable_count <= _MAX_UNREACHABLE:
                 return True
         else:
             job.progress = job.progress.fail(failure)
@@ -297,7 +305,10 @@
             job.route.max_attempts, job.deadline - now, True
         )
         verdict = may_retry
-        if may_retry is retry.Verdict.RETRY and job.misses <= _MISSES:
+        if (
+            may_retry is retry.Verdict.RETRY
+            and job.unreachable_count <= _MAX_UNREACHABLE
+        ):
             budget = self._budget(job.service.name)
             has_budget = budget.take(now, self._placement.instances)
             verdict = job.progress.judge(
@@ -317,8 +328,8 @@
             return True
         wait = None
         if verdict is retry.Verdict.NOT_RUN:
-            wait = self._endpoint_chooser.find_return(job)
-        self._endings.answer_verdict(
-            job, verdict, wait or jobs.SHORTEST_RETRY_AFTER
+            wait = self._endpoint_chooser.find_retry_after(job)
+        self._responder.answer_verdict(
+            job, verdict, wait or jobs.MIN_RETRY_AFTER_SECONDS
         )
         return False
--- a/src/wayslip/gateway/view.py
+++ b/src/wayslip/gateway/view.py
@@ -24,12 +24,12 @@
 _LOG = logging.getLogger(__name__)
 # How long word of an order goes before the engine's entry, seconds: two
 # heartbeats and the list's lag.
-_WORD_SECONDS = 4.0
+_ITEM_UPDATE_SECONDS = 4.0
 # An endpoint with requests out and no byte from it for this long is not given
 # more, seconds: above the longest pause that a sheet allows between events.
-_SILENCE = 1.5
+_MAX_SILENCE_SECONDS = 1.5
 # Less unread work than this at an endpoint does not disturb a sample, seconds.
-_ALONE_SECONDS = 0.01
+_MAX_OTHER_UNREAD_SECONDS = 0.01
 
 
 @dataclasses.dataclass
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass
-class Use:
+class ActiveRequest:
     """One request at an endpoint, from choice to end.
 
     Attributes:
@@ -86,7 +86,7 @@
         self.prefixes = prefixes.PrefixTable()
         self.reading = reading.ReadingRates()
         # Word of orders: (endpoint, model, adapter) to (is held, until).
-        self._word: dict[tuple[str, str, str], tuple[bool, float]] = {}
+        self._item_updates: dict[tuple[str, str, str], tuple[bool, float]] = {}
 
     # The list
 
@@ -160,7 +160,9 @@
         tracked.is_gone = True
         self._by_service.get(tracked.endpoint.service, {}).pop(name, None)
         self.prefixes.forget(name)
-        self._word = {k: w for k, w in self._word.items() if k[0] != name}
+        self._item_updates = {
+            k: w for k, w in self._item_updates.items() if k[0] != name
+        }
         self._log("endpoint_gone", tracked.endpoint)
 
     def replace_all(self, endpoints: Iterable[fleet.Endpoint]) -> None:
@@ -193,8 +195,11 @@
     ) -> bool:
         """Takes word of an order; returns whether it was news."""
         now = clock.now()
-        known = self._word.get((name, model, adapter))
-        self._word[(name, model, adapter)] = (is_held, now + _WORD_SECONDS)
+        known = self._item_updates.get((name, model, adapter))
+        self._item_updates[(name, model, adapter)] = (
+            is_held,
+            now + _ITEM_UPDATE_SECONDS,
+        )
         return known is None or known[0] is not is_held or known[1] <= now
 
     def holds(self, endpoint: fleet.Endpoint, model: str, adapter: str) -> bool:
@@ -208,12 +213,12 @@
     def _holds_item(
         self, endpoint: fleet.Endpoint, model: str, adapter: str
     ) -> bool:
-        word = self._word.get((endpoint.name, model, adapter))
-        if word is not None:
-            is_held, until = word
+        update = self._item_updates.get((endpoint.name, model, adapter))
+        if update is not None:
+            is_held, until = update
             if clock.now() < until:
                 return is_held
-            del self._word[(endpoint.name, model, adapter)]
+            del self._item_updates[(endpoint.name, model, adapter)]
         return endpoint.holds(model, adapter)
 
     def holds_anywhere(self, service: str, model: str) -> bool:
@@ -231,7 +236,7 @@
         traits: dialect.Traits,
         kv_tokens: int,
         priority: int,
-        besides: frozenset[str],
+        excluded: frozenset[str],
         is_connected: Callable[[str], bool],
     ) -> list[selection.Candidate]:
         """Returns the endpoints that can answer a request now."""
@@ -239,14 +244,14 @@
         found = [
             t
             for t in self.of_service(service)
-            if t.endpoint.name not in besides
+            if t.endpoint.name not in excluded
             and self._may_serve(t.endpoint, traits)
             and not self.notices.find_pause(t.endpoint)
         ]
-        usual = min((t.condition.failing(now) for t in found), default=0.0)
+        base_rate = min((t.condition.failing(now) for t in found), default=0.0)
         return [
             dataclasses.replace(
-                self._make_candidate(t, traits, kv_tokens, usual, now),
+                self._make_candidate(t, traits, kv_tokens, base_rate, now),
                 is_connected=is_connected(t.endpoint.name),
                 unread=backlog.ahead(
                     backlog.add(t.unread, t.others[1]), priority
@@ -263,12 +268,12 @@
             return False
         return self.holds(endpoint, traits.model, traits.adapter)
 
-    def note_backoff(self, use: Use, seconds: float) -> None:
+    def note_backoff(self, active: ActiveRequest, seconds: float) -> None:
         """Notes that an endpoint asked for rest.
 
         That is a bound and no preference: it turns away what comes meanwhile.
         """
-        endpoint = use.tracked.endpoint
+        endpoint = active.tracked.endpoint
         self.notices.note_backoff(endpoint, seconds)
         logs.event(
             _LOG,
@@ -280,20 +285,20 @@
         )
 
     def find_backoff(
-        self, service: str, traits: dialect.Traits, besides: frozenset[str]
+        self, service: str, traits: dialect.Traits, excluded: frozenset[str]
     ) -> float | None:
         """Returns the seconds until one that can serve a request may take it.
 
         Returns:
             0 if one may now, None if none can serve it.
         """
-        rests = (
+        pauses = (
             self.notices.find_pause(t.endpoint)
             for t in self.of_service(service)
-            if t.endpoint.name not in besides
+            if t.endpoint.name not in excluded
             and self._may_serve(t.endpoint, traits)
         )
-        return min(rests, default=None)
+        return min(pauses, default=None)
 
     def find_limit(self, service: str, traits: dialect.Traits) -> float | None:
         """Returns what all that can serve a request take, requests a second.
@@ -315,7 +320,7 @@
         tracked: Tracked,
         traits: dialect.Traits,
         kv_tokens: int,
-        usual: float,
+        base_rate: float,
         now: float,
     ) -> selection.Candidate:
         endpoint = tracked.endpoint
@@ -331,10 +336,10 @@
             slots=endpoint.slots,
             reading=self.reading.estimate(traits.model, uncached),
             memory=memory,
-            failures=tracked.condition.failing(now) - usual,
+            failures=tracked.condition.failing(now) - base_rate,
             is_near=endpoint.data_hall == self._data_hall,
             is_suspended=tracked.condition.is_backing_off(now)
-            or _is_silent(tracked, now),
+            or _is_unresponsive(tracked, now),
             is_limited=self.notices.find_limit(endpoint.start) is not None,
         )
 
@@ -348,63 +353,68 @@
         cached = self.prefixes.count_cached(name, item, traits.parts)
         return max(traits.prompt_tokens - cached, 0)
 
-    def begin(self, name: str, traits: dialect.Traits, priority: int) -> Use:
+    def begin(
+        self, name: str, traits: dialect.Traits, priority: int
+    ) -> ActiveRequest:
         """Counts a request that is about to be sent."""
         tracked = self.tracked[name]
         now = clock.now()
         uncached = self.count_uncached(name, traits)
         seconds = self.reading.estimate(traits.model, uncached)
-        elsewhere = sum(tracked.others[1])
-        use = Use(
+        others_unread = sum(tracked.others[1])
+        active = ActiveRequest(
             tracked=tracked,
             model=traits.model,
             unread=backlog.at(priority, seconds),
             tokens=traits.prompt_tokens + traits.output_tokens,
             uncached=uncached,
-            is_alone=sum(tracked.unread) + elsewhere < _ALONE_SECONDS,
+            is_alone=sum(tracked.unread) + others_unread
+            < _MAX_OTHER_UNREAD_SECONDS,
             began=now,
         )
         if not tracked.in_flight:
             tracked.waits_since = now
         tracked.in_flight += 1
-        tracked.unread = backlog.add(tracked.unread, use.unread)
-        tracked.tokens += use.tokens
+        tracked.unread = backlog.add(tracked.unread, active.unread)
+        tracked.tokens += active.tokens
         if traits.parts:
             item = f"{traits.model}/{traits.adapter}"
             self.prefixes.note(name, item, traits.parts)
-        return use
+        return active
 
-    def hear(self, use: Use) -> None:
+    def note_bytes(self, active: ActiveRequest) -> None:
         """Notes that bytes came; the prompt was read."""
         now = clock.now()
-        use.tracked.heard = now
-        if not use.unread:
+        active.tracked.heard = now
+        if not active.unread:
             return
-        if use.is_alone and use.model:
-            self.reading.learn(use.model, use.uncached, now - use.began)
-        self._end_reading(use)
+        if active.is_alone and active.model:
+            self.reading.learn(
+                active.model, active.uncached, now - active.began
+            )
+        self._end_reading(active)
 
-    def _end_reading(self, use: Use) -> None:
-        tracked = use.tracked
-        tracked.unread = backlog.subtract(tracked.unread, use.unread)
-        use.unread = backlog.EMPTY
+    def _end_reading(self, active: ActiveRequest) -> None:
+        tracked = active.tracked
+        tracked.unread = backlog.subtract(tracked.unread, active.unread)
+        active.unread = backlog.EMPTY
 
-    def end(self, use: Use) -> None:
+    def end(self, active: ActiveRequest) -> None:
         """Counts a request that ended, however it did."""
-        tracked = use.tracked
+        tracked = active.tracked
         tracked.in_flight -= 1
-        tracked.tokens -= use.tokens
-        self._end_reading(use)
+        tracked.tokens -= active.tokens
+        self._end_reading(active)
 
-    def note_answer(self, use: Use, is_failure: bool) -> None:
+    def note_answer(self, active: ActiveRequest, is_failure: bool) -> None:
         """Notes an endpoint's own answer."""
-        tracked = use.tracked
+        tracked = active.tracked
         now = clock.now()
         tracked.condition = tracked.condition.note(is_failure, now)
 
-    def note_miss(self, use: Use) -> None:
+    def note_failed_attempt(self, active: ActiveRequest) -> None:
         """Notes that an endpoint was not reached, or broke off."""
-        tracked = use.tracked
+        tracked = active.tracked
         tracked.condition = tracked.condition.miss(clock.now())
 
     def dump(self) -> dict[str, object]:
@@ -412,8 +422,8 @@
         return {name: dataclasses.asdict(t) for name, t in self.tracked.items()}
 
 
-def _is_silent(tracked: Tracked, now: float) -> bool:
+def _is_unresponsive(tracked: Tracked, now: float) -> bool:
     """Whether requests are out there and nothing came for too long."""
     if not tracked.in_flight:
         return False
-    return now - max(tracked.heard, tracked.waits_since) > _SILENCE
+    return now - max(tracked.heard, tracked.waits_since) > _MAX_SILENCE_SECONDS
