--- a/src/wayslip/gateway/attempts.py
+++ b/src/wayslip/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: send it, and pass the endpoint's answer on."""
+"""Attempts: sends a request to an endpoint and forwards the answer."""
 
 from collections.abc import Callable
 import logging
@@ -21,11 +21,11 @@
 from wayslip.http1 import pool as pool_module
 
 _LOG = logging.getLogger(__name__)
-# Connecting inside a region takes 2 ms; a dropped packet is sent again after
-# a few hundred. Beyond this the endpoint is taken as dark, seconds.
+# Connecting inside a region takes 2 ms, and a lost packet is retransmitted
+# after a few hundred. After this time the endpoint counts as unreachable.
 CONNECT_TIMEOUT_SECONDS = 0.4
-# An answer up to this size is read whole before it is passed on, so that one
-# that breaks off can be asked for again, bytes.
+# Answers up to this size are buffered before they are forwarded, so that a
+# request whose answer breaks off can be retried.
 _MAX_BUFFERED_BYTES = 256 * 1024
 
 
@@ -42,16 +42,17 @@
         report_leaving: Callable[[fleet.Endpoint], None],
         permit_broker: permit_broker_module.PermitBroker,
     ) -> None:
-        """Initializes without any connection.
+        """Initializes without open connections.
 
         Args:
-            dialect: Reads answers and writes headers.
-            view: Of the endpoints.
-            responder: End requests.
-            metrics: Where outcomes are counted.
-            quarantine: Knows requests that end endpoints.
-            report_leaving: Is given an endpoint that says it takes no new work.
-            permit_broker: Is told the limits that answers name.
+            dialect: Parses answers and writes headers.
+            view: What this instance knows of the endpoints.
+            responder: Answers requests and logs outcomes.
+            metrics: Records latencies.
+            quarantine: Tracks requests that crash endpoints.
+            report_leaving: Called with an endpoint whose answer says that it
+                takes no new work.
+            permit_broker: Records the rate limits that answers name.
         """
         self._permit_broker = permit_broker
         self._report_leaving = report_leaving
@@ -65,7 +66,7 @@
     async def make(
         self, job: jobs.Job, choice: selection.Choice
     ) -> retry.Failure | None:
-        """Sends a request to one endpoint; returns None once answered."""
+        """Sends a request to an endpoint; returns None once it is answered."""
         job.endpoint = choice.name
         tracked = self._view.tracked[choice.name]
         active = self._view.begin(choice.name, job.traits, job.rank)
@@ -102,7 +103,7 @@
                 connection.close()
 
     def _find_depth(self, job: jobs.Job) -> int:
-        """Returns how deep a request is in suspicion as it is sent."""
+        """Returns the request's suspicion depth at the time it is sent."""
         if not self._quarantine:
             return job.broken_attempts
         return max(
@@ -139,7 +140,7 @@
         if answer.is_leaving:
             self._report_leaving(active.tracked.endpoint)
         if answer.limit is not None or answer.is_genuine:
-            # What is not the endpoint's own tells of no end.
+            # An answer that is not the endpoint's own doesn't lift a limit.
             self._permit_broker.note_answer(
                 active.tracked.endpoint, answer.limit, sent_at
             )
@@ -159,7 +160,7 @@
             return retry.Failure.REFUSED
         if not answer.is_genuine:
             raise errors.EndpointUnclearError(
-                f"{endpoint} sent an answer that is not its own",
+                f"{endpoint} sent an answer that is not marked as its own",
                 "see the endpoint's log",
             )
         if answer.is_stream and head.status < 300:
@@ -211,7 +212,7 @@
         connection: client.Connection,
         head: messages.Head,
     ) -> retry.Failure | None:
-        """Passes an answer on, whole where it is small."""
+        """Forwards an answer, buffering it if it is small."""
         headers = messages.find_end_to_end(head.headers)
         parts: list[bytes] = []
         size = 0
@@ -256,10 +257,10 @@
         connection: client.Connection,
         head: messages.Head,
     ) -> retry.Failure | None:
-        """Passes a stream on, event by event.
+        """Forwards a stream event by event.
 
-        The head is held back until the first event, so that a stream that
-        breaks off before can still be answered or sent elsewhere.
+        The head is sent with the first event, so that a stream that breaks off
+        earlier can still be retried or answered with an error.
         """
         job.splitter.drop_remainder()
         while part := await connection.read():
--- a/src/wayslip/gateway/backoff.py
+++ b/src/wayslip/gateway/backoff.py
@@ -1,6 +1,7 @@
-"""Requests while the endpoints that could serve them want none.
+"""Waiting and retry times while all suitable endpoints back off.
 
-They asked for rest, or all places in the limit that they name are taken.
+An endpoint backs off if it asked for no requests for some time, or if all
+permits under the rate limit that it names are taken.
 """
 
 import asyncio
@@ -13,22 +14,22 @@
 from wayslip.gateway import jobs
 from wayslip.gateway import view as view_module
 
-# A rest is waited for if it is shorter than this many latency targets, so that
-# the answer can still be in time, and than this share of the time left.
+# A request waits for a back-off that is shorter than this many latency targets,
+# so that the answer can still be in time, and than this share of the time left.
 _MAX_WAIT_TARGETS = 0.5
 _MAX_WAIT_SHARE = 0.9
-# The return of those who are refused is spread over this, seconds: not all in
-# the moment in which an endpoint has rested.
+# Retries are spread over this time, so that not all refused requests arrive at
+# the moment when the back-off ends.
 _RETURN_JITTER_SECONDS = 0.5
-# Returns to endpoints with limits are spread over this much at most, seconds:
-# most clients have less time than that.
+# Retries at endpoints with rate limits are spread over at most this time. Most
+# clients have a shorter deadline.
 _MAX_RETURN_SPREAD_SECONDS = 10.0
-# Models whose returns are kept apart; the oldest are forgotten.
+# Models whose retries are tracked; the oldest entries are dropped.
 _MAX_MODELS = 1000
 
 
 class EndpointBackoff:
-    """How long requests have to wait for endpoints that want none now."""
+    """How long requests wait for endpoints that are backing off."""
 
     def __init__(
         self,
@@ -37,13 +38,13 @@
     ) -> None:
         self._view = view
         self._count_instances = count_instances
-        # When the last client was told to return, by service and model.
+        # The latest retry time given to a client, by service and model.
         self._last_returns: collections.OrderedDict[tuple[str, str], float] = (
             collections.OrderedDict()
         )
 
     def is_backing_off(self, job: jobs.Job) -> bool:
-        """Whether endpoints hold what a request needs, and all rest."""
+        """Whether all endpoints that can serve a request are backing off."""
         return bool(self._find_backoff(job, job.tried))
 
     def _find_backoff(
@@ -52,10 +53,10 @@
         return self._view.find_backoff(job.service.name, job.traits, excluded)
 
     async def wait(self, job: jobs.Job) -> bool:
-        """Waits for the first one to have rested, if that is soon.
+        """Waits until the first back-off ends, if that is soon enough.
 
         Returns:
-            Whether one may have, and should be looked for.
+            Whether it waited, so that the caller should choose again.
         """
         backoff_seconds = self._find_backoff(job, job.tried)
         if backoff_seconds is None or backoff_seconds > self.find_max_wait(job):
@@ -64,18 +65,18 @@
         return True
 
     def find_max_wait(self, job: jobs.Job) -> float:
-        """Returns the seconds that a request can still wait to be sent."""
+        """Returns the seconds that a request can wait before it is sent."""
         now = clock.now()
         in_time = job.route.target * _MAX_WAIT_TARGETS - (now - job.began)
         return max(min((job.deadline - now) * _MAX_WAIT_SHARE, in_time), 0.0)
 
     def find_retry_after(self, job: jobs.Job) -> float | None:
-        """Returns the seconds after which a client should come back.
+        """Returns the seconds after which a client should retry.
 
         Returns:
-            None if not all that could serve it rest.
+            None unless all endpoints that can serve the request back off.
         """
-        # Those that turned it away now may take it then.
+        # Endpoints that were tried count too: they may accept the retry.
         backoff_seconds = self._find_backoff(job, frozenset())
         if not backoff_seconds:
             return None
@@ -87,9 +88,9 @@
     def _find_permit_time(
         self, job: jobs.Job, backoff_seconds: float, limit: float
     ) -> float:
-        """Returns the seconds until a place is free that nobody was told of.
+        """Returns the seconds until a permit that no other client waits for.
 
-        Every instance tells its clients of an even part of the places.
+        Each instance assumes an equal share of the permits for its clients.
         """
         key = (job.service.name, job.traits.model)
         first = clock.now() + backoff_seconds
--- a/src/wayslip/gateway/endpoint_chooser.py
+++ b/src/wayslip/gateway/endpoint_chooser.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to, and when it has to wait or be refused."""
+"""Chooses the endpoint of a request, or decides to wait or refuse it."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,28 +19,28 @@
 from wayslip.gateway import view as view_module
 
 _LOG = logging.getLogger(__name__)
-# Told where no endpoint of a plain service is known, seconds.
+# Retry-After if no endpoint of a plain service is known.
 _UNKNOWN_RETRY_AFTER_SECONDS = 1.0
-# The same for a model that nobody loads yet: the planner begins within a
-# moment, and a load takes two seconds from an engine's disk and nine from the
-# weight store, so that who comes back after one second is refused again.
+# Retry-After for a model of which no load is known. A load takes two seconds
+# from an engine's disk and nine from the weight store, so that a client that
+# came back after one second would be refused again.
 _LOAD_RETRY_AFTER_SECONDS = 2.5
-# Share of the time that a client has left after which it comes back at the
-# latest, whatever it is told; from the operators' pages.
+# Clients retry after at most this share of the time that they have left,
+# whatever Retry-After says (from the operators' documentation).
 _MAX_RETRY_AFTER_SHARE = 1 / 3
-# A request is refused if it would wait for more than this share of the time
-# that is left, or for more than this many times its latency target. A queue
-# that is longer makes everybody late; refused at once, most can be answered
-# in time when they come back. Waits are overestimated: of those predicted at
-# 1.0 to 1.25 targets a fifth was late, at 2.5 targets half.
+# A request is refused if its expected wait exceeds this share of the time left
+# or this many latency targets. A longer queue makes every request late, while
+# most refused requests are answered in time when they are retried. The limit is
+# above one target because waits are overestimated: of the requests with an
+# expected wait of 1.0 to 1.25 targets a fifth was late, at 2.5 targets half.
 _MAX_WAIT_SHARE = 0.9
 _MAX_WAIT_TARGETS = 2.0
-# One that is refused so should find about half a target's queue, targets.
+# Retry-After is set so that the remaining wait is this many latency targets.
 _REMAINING_WAIT_TARGETS = 0.5
 
 
 class EndpointChooser:
-    """Finds endpoints for requests. Used on the event loop only."""
+    """Chooses endpoints for requests. Used on the event loop only."""
 
     def __init__(
         self,
@@ -52,16 +52,16 @@
         metrics: metrics_module.Metrics,
         has_idle: Callable[[str], bool],
     ) -> None:
-        """Initializes without any request.
+        """Initializes the chooser.
 
         Args:
-            options: Of this instance.
-            view: Of the endpoints.
-            placement: Has models loaded.
-            permit_broker: At endpoints that name a limit.
-            responder: End requests.
-            metrics: Where the age of what is known is counted.
-            has_idle: Whether a connection to an endpoint is idle.
+            options: Options of this instance.
+            view: What this instance knows of the endpoints.
+            placement: Requests loads of models.
+            permit_broker: Grants permits at endpoints with a rate limit.
+            responder: Answers requests and logs outcomes.
+            metrics: Records the age of the known load.
+            has_idle: Returns whether an endpoint has an idle connection.
         """
         self._view = view
         self._placement = placement
@@ -76,10 +76,10 @@
         self._wait_policy = wait_policies.WAIT_POLICIES.get(options.max_wait)
 
     async def find(self, job: jobs.Job) -> selection.Choice | None:
-        """Returns an endpoint that the request may be sent to now.
+        """Returns an endpoint that a request may be sent to now.
 
         Returns:
-            None if there is none; the request is answered then.
+            None if there is none; the request has been answered then.
         """
         while True:
             choice = await self._find(job)
@@ -87,10 +87,10 @@
                 return choice
 
     def find_retry_after(self, job: jobs.Job) -> float | None:
-        """Returns the seconds after which a client should come back.
+        """Returns the seconds after which a client should retry.
 
         Returns:
-            None if nothing says when; see `resting`.
+            None if that is not known; see `backoff`.
         """
         return self._endpoint_backoff.find_retry_after(job)
 
@@ -116,11 +116,11 @@
     async def _take_permit(
         self, job: jobs.Job, choice: selection.Choice
     ) -> bool:
-        """Takes a place in an endpoint's limit, if it names one.
+        """Takes a permit at an endpoint that names a rate limit.
 
         Returns:
-            Whether the request may be sent there now; else another endpoint
-            is to be chosen.
+            Whether the request may be sent there now. If not, the caller
+            chooses again.
         """
         endpoint = self._view.tracked[choice.name].endpoint
         max_wait = self._endpoint_backoff.find_max_wait(job)
@@ -165,13 +165,13 @@
         return choice
 
     def _may_be_loaded(self, job: jobs.Job) -> bool:
-        """Whether a load could help: no endpoint that rests has the model."""
+        """Whether a load could help: no endpoint with the model backs off."""
         return bool(
             job.traits.model
         ) and not self._endpoint_backoff.is_backing_off(job)
 
     async def _wait_for_model(self, job: jobs.Job) -> selection.Choice | None:
-        """Has a model or adapter loaded; waits while that is worth it."""
+        """Requests a load and waits for it as long as the policy allows."""
         while not job.progress.attempts:
             left = self._find_max_load_wait(job)
             if left <= 0:
@@ -185,7 +185,7 @@
         return None
 
     def _find_max_load_wait(self, job: jobs.Job) -> float:
-        """Returns for how long a request should wait for its model."""
+        """Returns the seconds that a request may still wait for its model."""
         now = clock.now()
         situation = wait_policies.Situation(
             waited=now - job.began,
@@ -196,7 +196,7 @@
         return self._wait_policy(situation)
 
     def _lacks_adapter_only(self, job: jobs.Job) -> bool:
-        """Whether an engine holds the model, but not the adapter."""
+        """Whether an engine holds the model and only the adapter is missing."""
         traits = job.traits
         return bool(traits.adapter) and self._view.holds_anywhere(
             job.service.name, traits.model
@@ -227,17 +227,17 @@
 
 
 def _find_load_time(job: jobs.Job) -> float:
-    """Returns the seconds of a load from the weight store, 0 if unknown."""
+    """Returns the load time from the weight store in seconds, 0 if unknown."""
     pool = job.service.pool
     model = pool.models.get(job.traits.model) if pool else None
     return model.load_s if model else 0.0
 
 
 def can_wait_for_load(job: jobs.Job) -> bool:
-    """Whether a load that begins now can still serve the request's client.
+    """Whether a load that begins now finishes in time for a retry.
 
-    It comes back after a part of the time that it has left at most, and waits
-    then for as long as the request may wait for a model that is on its way.
+    The client retries after at most a share of the time that it has left, and
+    the retry then waits as long as the policy allows for a pending load.
     """
     left = job.deadline - job.began
     max_wait = (
--- a/src/wayslip/gateway/jobs.py
+++ b/src/wayslip/gateway/jobs.py
@@ -1,4 +1,4 @@
-"""A request under way, and how it can end without an endpoint's answer."""
+"""State of a request, and answers that this instance gives itself."""
 
 import dataclasses
 import functools
@@ -17,27 +17,32 @@
 from wayslip.http1 import server
 
 _LOG = logging.getLogger(__name__)
-# The shortest time that a client is told to stay away, seconds: some round
-# trips, so that what refused it can have changed.
+# Lower bound of Retry-After: a few round trips, so that the cause of a refusal
+# can have changed.
 MIN_RETRY_AFTER_SECONDS = 0.1
 
 
 @dataclasses.dataclass
 class Job:
-    """A request under way.
+    """A request from its arrival to its answer.
 
     Attributes:
+        began: When it arrived, steady seconds.
         deadline: When the answer is due, steady seconds.
-        relayed: Whether a part of an answer went to the client.
-        sent_after: Seconds from its arrival until it was first sent.
-        first_after: The same until the first part of its answer.
-        fallback: An endpoint's own failure, passed on if no retry helps.
-        caller: Whose request it is, None where nobody has to say.
-        units: That its quota was charged.
-        is_sent: Whether an endpoint may run it now, or has.
-        rank: Its urgency, 0 is the most urgent.
-        broken_attempts: Attempts that broke off.
-        is_probe: Whether it is sent though its content is condemned.
+        unreachable_count: Attempts whose endpoint could not be reached.
+        tried: Endpoints that were tried.
+        endpoint: The endpoint of the last attempt, empty before the first.
+        relayed: Whether any part of an answer was sent to the client.
+        sent_after: Seconds from arrival until the first send.
+        first_after: Seconds from arrival until the first event of a stream.
+        fallback: An endpoint's own 5xx answer, forwarded if no retry succeeds.
+        caller: The organisation, None if the request was not authenticated.
+        units: Units charged to its quota.
+        is_sent: Whether an endpoint may be running it or may have run it.
+        rank: Urgency, 0 is the most urgent.
+        broken_attempts: Attempts without a complete answer of the endpoint's
+            own.
+        is_probe: Whether it is sent although its content is blocked.
     """
 
     exchange: server.Exchange
@@ -64,7 +69,7 @@
 
     @functools.cached_property
     def content(self) -> bytes:
-        """Digest of what it asks for, alike in all attempts of a client."""
+        """Content digest, the same for each retry that a client sends."""
         request, traits = self.exchange.request, self.traits
         return contents.make_digest(
             self.caller.name if self.caller else "",
@@ -77,7 +82,7 @@
 
 
 class Responder:
-    """Ends requests, with a log line each."""
+    """Answers requests and logs how each of them ended."""
 
     def __init__(
         self,
@@ -93,12 +98,12 @@
         verdict: retry.Verdict,
         wait: float = MIN_RETRY_AFTER_SECONDS,
     ) -> None:
-        """Answers a request that no further attempt is made at.
+        """Answers a request that is not retried any further.
 
         Args:
             job: The request.
-            verdict: Whether it was run.
-            wait: Seconds until it can be, if it was not.
+            verdict: Whether the request was run.
+            wait: Retry-After in seconds if the request was not run.
         """
         if job.relayed:
             self.record_job_outcome(job, "broken_off", 0)
@@ -118,7 +123,7 @@
         job.exchange.answer(502, (), b"the endpoint broke off\n")
 
     def time_out(self, job: Job) -> None:
-        """Answers a request whose time is over."""
+        """Answers a request whose deadline has passed."""
         if job.exchange.is_finished:
             return
         if job.exchange.is_started:
@@ -133,7 +138,7 @@
     def refuse_job(
         self, job: Job, reason: str, wait: float, status: int = 503
     ) -> None:
-        """Says that a request was not run, and when to come back."""
+        """Refuses a request that was not run, with a Retry-After header."""
         self.record_job_outcome(job, reason, status, f"{wait:.2f}")
         self._metrics.count("refused", reason=reason)
         headers = self._dialect.make_retry_after(
@@ -142,7 +147,7 @@
         job.exchange.answer(status, headers, b"not run, come back later\n")
 
     def refuse_content(self, job: Job, wait: float) -> None:
-        """Says that a request ended endpoints and was not run again."""
+        """Refuses a request because its content crashed endpoints."""
         reason = "ends_endpoints"
         self.record_job_outcome(
             job, reason, 503, f"{wait:.2f}", job.content.hex()
@@ -152,7 +157,7 @@
         job.exchange.answer(503, headers, b"not run: engines ended under it\n")
 
     def deny_job(self, job: Job, reason: str) -> None:
-        """Says for good that a request's key lets nobody in."""
+        """Refuses a request with an invalid key; not worth a retry."""
         self.record_job_outcome(job, reason, 401)
         self._metrics.count("refused", reason=reason)
         job.exchange.answer(401, (), b"send a key that is in force\n")
@@ -160,7 +165,7 @@
     def refuse(
         self, exchange: server.Exchange, reason: str, wait: float
     ) -> None:
-        """Refuses a request that has no job yet."""
+        """Refuses a request for which no job was created."""
         self._metrics.count("refused", reason=reason)
         headers = self._dialect.make_retry_after(wait)
         exchange.answer(503, headers, b"not run, come back later\n")
@@ -173,7 +178,7 @@
         retry_after: str = "",
         content: str = "",
     ) -> None:
-        """Logs and counts the end of a job."""
+        """Logs the outcome of a job and observes its latency."""
         self.record_outcome(
             job.traits.request_id,
             outcome,
@@ -198,10 +203,10 @@
         began: float,
         **fields: str,
     ) -> None:
-        """Logs and counts the end of a request."""
+        """Logs the outcome of a request and observes its latency."""
         seconds = clock.now() - began
         self._metrics.latency("request").observe(seconds)
-        # A warning is the last to be left out when the reader is slow.
+        # When the log's reader is slow, warnings are dropped last.
         level = logging.INFO if outcome == "answered" else logging.WARNING
         logs.event(
             _LOG,
--- a/src/wayslip/gateway/requests.py
+++ b/src/wayslip/gateway/requests.py
@@ -1,4 +1,4 @@
-"""The way of a request: resolve, admit, choose, attempt, relay, account."""
+"""Request handling: resolve, admit, choose, attempt, relay, account."""
 
 import asyncio
 from collections.abc import Callable
@@ -29,9 +29,9 @@
 from wayslip.http1 import server
 
 _LOG = logging.getLogger(__name__)
-# Endpoints that could not be reached before the request is given up.
+# Unreachable endpoints that a request tries before it is refused.
 _MAX_UNREACHABLE = 3
-# Told where the configuration in force is not known, seconds.
+# Retry-After while it is not known whether the configuration is current.
 _UNKNOWN_RETRY_AFTER_SECONDS = 1.0
 
 
@@ -52,21 +52,22 @@
         report_leaving: Callable[[fleet.Endpoint], None],
         permit_broker: permit_broker_module.PermitBroker,
     ) -> None:
-        """Initializes without any request.
+        """Initializes the handler.
 
         Args:
-            options: Of this instance.
-            dialect: Reads requests and writes headers.
-            holder: Of the configuration in force.
-            view: Of the endpoints.
-            placement: Has models loaded.
-            metrics: Where outcomes are counted.
-            find_configuration_status: Returns what is known of the
-                configuration in force.
-            limiter: Of organisations' quotas.
-            quarantine: Knows requests that end endpoints.
-            report_leaving: Is given an endpoint that says it takes no new work.
-            permit_broker: At endpoints that name a limit.
+            options: Options of this instance.
+            dialect: Parses requests and writes headers.
+            holder: Holds the configuration in force.
+            view: What this instance knows of the endpoints.
+            placement: Requests loads of models.
+            metrics: Counts outcomes.
+            find_configuration_status: Returns whether the configuration in
+                force is reliable and known to be the newest.
+            limiter: Enforces organisations' quotas.
+            quarantine: Tracks requests that crash endpoints.
+            report_leaving: Called with an endpoint whose answer says that it
+                takes no new work.
+            permit_broker: Grants permits at endpoints with a rate limit.
         """
         self._quarantine = quarantine
         self._find_configuration_status = find_configuration_status
@@ -104,7 +105,7 @@
         self._budgets: dict[str, budget_module.Budget] = {}
 
     def drop_endpoint(self, name: str) -> None:
-        """Closes idle connections to an endpoint that is gone."""
+        """Closes idle connections to an endpoint that was removed."""
         self._attempts.pool.drop(name)
 
     def close(self) -> None:
@@ -146,10 +147,10 @@
     def _answer_unknown_route(
         self, exchange: server.Exchange, request_id: str, began: float
     ) -> None:
-        """Says that there is no such route, if that is known.
+        """Answers 404 if no route matches in the newest configuration.
 
-        A client takes 404 as final. Where a newer configuration may be there,
-        it may have the route, and the client is to come back.
+        Clients treat 404 as final. If a newer configuration may exist, it may
+        have the route, so the answer is 503 with a retry time.
         """
         if self._find_configuration_status().is_newest:
             self._responder.record_outcome(request_id, "no_route", 404, began)
@@ -189,10 +190,10 @@
         )
 
     def _check_key(self, job: jobs.Job) -> bool:
-        """Finds whose request it is by its key; answers it if nobody's.
+        """Authenticates a request by its key; answers it if that fails.
 
-        Done before each attempt: a key may be taken away while a request waits
-        or is tried again.
+        Runs before each attempt, because a key may be revoked while a request
+        waits or between retries.
         """
         manifest = self._holder.manifest
         assert manifest is not None
@@ -217,7 +218,7 @@
         return False
 
     def _check_quota(self, job: jobs.Job) -> bool:
-        """Takes a request's units from its organisation's quota, or refuses."""
+        """Charges the organisation's quota, or refuses the request."""
         if job.caller is None:
             return True
         traits = job.traits
@@ -232,11 +233,12 @@
         return False
 
     def _check_content(self, job: jobs.Job) -> bool:
-        """Answers a request that ends the endpoints that run it.
+        """Refuses a request whose content is blocked for crashing endpoints.
 
-        Done before each attempt: word of another end may come while a request
-        waits. Each end breaks off all that runs there, so whoever asks gets
-        an answer at once instead, with the time when it may be tried again.
+        Runs before each attempt, because another crash may be announced while
+        a request waits. A crash aborts all other requests at the endpoint, so
+        a blocked request is refused immediately with the time until it may be
+        retried.
         """
         if not self._quarantine:
             return True
@@ -293,7 +295,7 @@
     def _retry_or_answer(
         self, job: jobs.Job, endpoint: str, failure: retry.Failure
     ) -> bool:
-        """Decides whether another attempt follows; else answers."""
+        """Returns whether to retry; otherwise answers the request."""
         if failure is retry.Failure.NOT_SENT:
             job.unreachable_count += 1
             if job.unreachable_count <= _MAX_UNREACHABLE:
