--- a/src/wayslip/gateway/__init__.py
+++ b/src/wayslip/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway daemon: one process an instance, for callers and placement."""
+"""The gateway daemon: serves callers and places models, one per instance."""
--- a/src/wayslip/gateway/dialect.py
+++ b/src/wayslip/gateway/dialect.py
@@ -1,7 +1,7 @@
-"""What the request path needs to know of callers' and endpoints' HTTP.
+"""Interface between the request path and a platform's HTTP conventions.
 
-A dialect reads what concerns us out of requests and answers and writes what
-we add; the path itself knows no header by name.
+A dialect parses the platform's headers in requests and answers and writes those
+that are added. The request path itself uses no header by name.
 """
 
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """A part of a prompt that requests may share, with its tokens."""
+    """A part of a prompt that requests may share, and its length in tokens."""
 
     id: str
     tokens: int
@@ -22,19 +22,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Traits:
-    """What a request says of itself.
+    """Properties of a request, as its headers state them.
 
     Attributes:
+        request_id: Given by the client.
         host: Lower case, without a port.
         path: Without the query.
-        deadline: Seconds that the client waits, None if it does not say.
-        model: Empty where the service is plain.
-        adapter: Of the model, may be empty.
+        deadline: Seconds that the client waits, None if not stated.
+        model: Empty for a plain service.
+        adapter: Adapter of the model, may be empty.
         prompt_tokens: Length of the prompt.
-        output_tokens: The most that it may generate.
+        output_tokens: Maximum number of generated tokens.
         parts: The prompt's parts in order.
-        last_event_id: The last event of the stream that the client has.
-        key: Digest of the caller's key, None without one; see
+        last_event_id: Id of the last stream event that the client received.
+        key: Digest of the API key, None without one; see
             `organisations.hash_key`.
     """
 
@@ -53,14 +54,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendParameters:
-    """How a request is to be sent to one endpoint.
+    """Parameters of sending a request to an endpoint.
 
     Attributes:
-        endpoint: Its id; any other endpoint turns the request away.
-        seconds_left: What is left of the deadline.
+        endpoint: Its id; any other endpoint refuses the request.
+        seconds_left: Time left until the deadline.
         priority: Urgency, 0 is the most urgent.
-        last_event_id: The last event that the client has, if it goes on.
-        organisation: Whose request it is, empty if that is not known.
+        last_event_id: Id of the last event that the client received, if the
+            stream is resumed.
+        organisation: Name of the caller, empty if it is not known.
     """
 
     endpoint: str
@@ -72,18 +74,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """What an answer's head says.
+    """Properties of an answer, as its head states them.
 
     Attributes:
-        is_genuine: Whether the endpoint vouches for it as its own answer.
-        is_refusal: Whether the endpoint says it did not run the request.
-        is_misdirected: Whether another endpoint lives at the address.
+        is_genuine: Whether it is marked as the endpoint's own answer.
+        is_refusal: Whether the endpoint did not run the request.
+        is_misdirected: Whether another endpoint has this address.
         is_stream: Whether the body is a stream of events.
-        is_leaving: Whether the endpoint says that it takes no new work.
-        backoff: Seconds for which it wants nothing from us, None if it does not
-            say so.
-        limit: Requests a second that it takes from all instances together,
-            None if it names none.
+        is_leaving: Whether the endpoint takes no new work any more.
+        load: The endpoint's load, None if not stated.
+        backoff: Seconds for which the endpoint asks for no requests, None if it
+            doesn't ask.
+        limit: Requests per second that it accepts from all instances together,
+            None if it names no limit.
     """
 
     is_genuine: bool
@@ -100,7 +103,7 @@
     """Reads and writes one platform's headers."""
 
     def read_request(self, request: messages.Request) -> Traits | None:
-        """Returns a request's traits, None if it names no id."""
+        """Returns a request's traits, None if it has no request id."""
 
     def format_request(
         self, request: messages.Request, parameters: SendParameters
@@ -110,10 +113,10 @@
     def match_answer(
         self, request_id: str, is_reused: bool
     ) -> Callable[[messages.Head], bool]:
-        """Returns whether a head answers a request, as a function."""
+        """Returns a predicate: does a head belong to this request's answer?"""
 
     def read_answer(self, head: messages.Head) -> Answer:
-        """Returns what an answer's head says."""
+        """Returns the properties of an answer."""
 
     def make_retry_after(self, seconds: float) -> messages.Headers:
-        """Returns the headers of a refusal that says when to come back."""
+        """Returns the headers that ask a client to retry after some time."""
--- a/src/wayslip/gateway/endpoint_chooser.py
+++ b/src/wayslip/gateway/endpoint_chooser.py
@@ -21,9 +21,9 @@
 _LOG = logging.getLogger(__name__)
 # Retry-After if no endpoint of a plain service is known.
 _UNKNOWN_RETRY_AFTER_SECONDS = 1.0
-# Retry-After for a model of which no load is known. A load takes two seconds
-# from an engine's disk and nine from the weight store, so that a client that
-# came back after one second would be refused again.
+# Retry-After for a model of which no load is known. The planner starts a load
+# almost at once, and it takes two seconds from an engine's disk and nine from
+# the weight store. A retry after one second would be refused again.
 _LOAD_RETRY_AFTER_SECONDS = 2.5
 # Clients retry after at most this share of the time that they have left,
 # whatever Retry-After says (from the operators' documentation).
--- a/src/wayslip/gateway/endpoint_notices.py
+++ b/src/wayslip/gateway/endpoint_notices.py
@@ -1,9 +1,9 @@
-"""What endpoints said of themselves in their answers.
+"""Notices that endpoints give about themselves in their answers.
 
-Such a word is a fact with a source and an age of its own, beside the entry in
-the platform's list, which may be seconds old or written before the answer. It
-belongs to one start of an endpoint and only a later start ends it; an entry
-that lapses and comes back does not.
+A notice has its own source and age, independent of the endpoint's entry in the
+platform's list, which may be seconds old or written before the answer. It
+belongs to one incarnation of an endpoint and is dropped only with a later one;
+an entry that lapses and reappears doesn't clear it.
 """
 
 import dataclasses
@@ -11,16 +11,16 @@
 from wayslip import clock
 from wayslip.decisions import fleet
 
-# Starts whose words are kept; the oldest are forgotten.
+# Incarnations whose notices are kept; the oldest are dropped.
 _MAX_STARTS = 2000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Limit:
-    """A limit that an endpoint names.
+    """A rate limit that an endpoint names.
 
     Attributes:
-        rate: Requests a second.
+        rate: Requests per second.
         received_at: When it was last named, steady seconds.
     """
 
@@ -29,23 +29,23 @@
 
 
 class EndpointNotices:
-    """Words of endpoints, by their starts. Used on the event loop only."""
+    """Notices by incarnation of an endpoint. Used on the event loop only."""
 
     def __init__(self) -> None:
         self._leaving: dict[fleet.Start, float] = {}
         self._backoffs: dict[fleet.Start, float] = {}
-        # Until when all places of a limited endpoint are taken.
+        # Until when all permits of a limited endpoint are taken.
         self._exhausted: dict[fleet.Start, float] = {}
         self._limits: dict[fleet.Start, _Limit] = {}
 
     def note_leaving(self, start: fleet.Start) -> bool:
-        """Notes that an endpoint takes no new work, for good.
+        """Records that an endpoint takes no new work any more.
 
         Args:
-            start: Of the endpoint; what it said holds until that ends.
+            start: The incarnation that said so.
 
         Returns:
-            Whether it was news.
+            Whether that was not known yet.
         """
         if start in self._leaving:
             return False
@@ -55,32 +55,33 @@
         return True
 
     def is_leaving(self, endpoint: fleet.Endpoint) -> bool:
-        """Whether an endpoint said that it takes no new work."""
+        """Whether an endpoint announced that it takes no new work."""
         return endpoint.start in self._leaving
 
     def note_backoff(self, endpoint: fleet.Endpoint, seconds: float) -> None:
-        """Notes that an endpoint wants nothing from us for some time."""
+        """Records that an endpoint asked for no requests for some time."""
         start = endpoint.start
         until = clock.now() + seconds
-        # One asked for earlier may last longer.
+        # An earlier notice may ask for a longer back-off.
         self._backoffs[start] = max(until, self._backoffs.get(start, until))
         if len(self._backoffs) > _MAX_STARTS:
             del self._backoffs[next(iter(self._backoffs))]
 
     def note_exhausted(self, endpoint: fleet.Endpoint, seconds: float) -> None:
-        """Notes that all places of a limited endpoint are taken for a while."""
+        """Records that all permits of a limited endpoint are taken."""
         self._exhausted[endpoint.start] = clock.now() + seconds
         if len(self._exhausted) > _MAX_STARTS:
             del self._exhausted[next(iter(self._exhausted))]
 
     def find_backoff(self, endpoint: fleet.Endpoint) -> float:
-        """Returns the seconds for which an endpoint wants nothing from us."""
+        """Returns the seconds for which an endpoint asked for no requests."""
         return _find_left(self._backoffs, endpoint.start)
 
     def find_pause(self, endpoint: fleet.Endpoint) -> float:
-        """Returns the seconds until an endpoint may take a request of ours.
+        """Returns the seconds until an endpoint may get a request.
 
-        It asked for rest, or all places in its limit are taken.
+        It may have asked for a back-off, or all permits under its rate limit
+        may be taken.
         """
         exhausted = _find_left(self._exhausted, endpoint.start)
         return max(self.find_backoff(endpoint), exhausted)
@@ -90,19 +91,19 @@
     def note_limit(
         self, start: fleet.Start, rate: float | None, sent_at: float
     ) -> bool:
-        """Notes the limit that an answer names, or that it names none.
+        """Records the rate limit that an answer names, or that it names none.
 
-        Answers overtake one another. One to a request that was sent before
-        the limit was last named may be older than that, so it can lower the
-        limit and not raise or end it.
+        Answers may arrive out of order. An answer to a request that was sent
+        before the limit was last named may be older than that, so it may lower
+        the limit but not raise or remove it.
 
         Args:
-            start: Of the endpoint.
-            rate: Requests a second, None for no limit.
+            start: The endpoint's incarnation.
+            rate: Requests per second, None for no limit.
             sent_at: When the answer's request was sent, steady seconds.
 
         Returns:
-            Whether it was news.
+            Whether the known limit changed.
         """
         known = self._limits.get(start)
         if known is None and rate is None:
@@ -123,17 +124,17 @@
         return is_new
 
     def find_limit(self, start: fleet.Start) -> float | None:
-        """Returns the requests a second that an endpoint takes from all.
+        """Returns the rate limit that an endpoint names.
 
         Returns:
-            None if it names no limit.
+            Requests per second from all instances together, None for no limit.
         """
         known = self._limits.get(start)
         return None if known is None else known.rate
 
 
 def _find_left(until: dict[fleet.Start, float], start: fleet.Start) -> float:
-    """Returns the seconds that are left of a time; forgets one that is over."""
+    """Returns the seconds until a time; drops an entry that has expired."""
     if start not in until:
         return 0.0
     left = until[start] - clock.now()
--- a/src/wayslip/gateway/events.py
+++ b/src/wayslip/gateway/events.py
@@ -1,13 +1,13 @@
-"""Splits a stream of server-sent events at the ends of its events."""
+"""Splits a stream of server-sent events at event boundaries."""
 
 _SEPARATORS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventSplitter:
-    """Hands out whole events and remembers the last id.
+    """Returns whole events and keeps the last event id.
 
     Attributes:
-        last_id: Id of the last whole event handed out.
+        last_id: Id of the last whole event returned.
     """
 
     def __init__(self, last_id: str = "") -> None:
@@ -23,7 +23,7 @@
         return whole
 
     def drop_remainder(self) -> None:
-        """Drops a part of an event whose rest will not come."""
+        """Drops an incomplete event when the stream is resumed elsewhere."""
         self._remainder = b""
 
     @property
--- a/src/wayslip/gateway/lag.py
+++ b/src/wayslip/gateway/lag.py
@@ -1,8 +1,8 @@
-"""How late the event loop is, and how long the machine was suspended.
+"""Measures the event loop's lag and suspensions of the machine.
 
-Everything that an instance does waits for its one loop: answers, renewals of
-the lease and statements alike. A plan that takes 40 ms, or a processor that is
-busy elsewhere, shows here first.
+An instance runs on one event loop: answers, lease renewals and announcements
+wait for it. The lag shows a plan that takes 40 ms, or a processor that is busy
+with other processes.
 """
 
 import asyncio
@@ -13,15 +13,15 @@
 from wayslip import metrics as metrics_module
 
 _LOG = logging.getLogger(__name__)
-# Between looks, seconds: a look costs 0.02 ms.
+# Between samples; a sample takes 0.02 ms.
 _SAMPLE_INTERVAL_SECONDS = 0.1
-# Less than this between two looks is what reading two clocks takes, seconds.
+# A smaller difference between two samples is the time to read two clocks.
 _MIN_SUSPENSION_SECONDS = 0.05
 NAME = "loop_lag"
 
 
 async def observe(metrics: metrics_module.Metrics) -> None:
-    """Measures until it is cancelled."""
+    """Records lag and suspensions until cancelled."""
     latency = metrics.latency(NAME)
     previous = clock.find_suspended()
     while True:
--- a/src/wayslip/gateway/limits.py
+++ b/src/wayslip/gateway/limits.py
@@ -1,4 +1,4 @@
-"""An instance's parts of organisations' quotas; see `decisions.quota`."""
+"""This instance's shares of organisations' quotas; see `decisions.quota`."""
 
 import dataclasses
 
@@ -9,25 +9,29 @@
 from wayslip.gateway import configuration
 from wayslip.gateway import facts
 
-# Part of a told level that an instance sends on before it reports at once.
+# Share of an announced level that may be used before an early report is due.
 _MAX_UNREPORTED_SHARE = 0.08
-# Between reports that are given for that, seconds.
+# Minimum time between early reports.
 _MIN_EARLY_REPORT_SECONDS = 0.08
-# Sums are told again for so long after their last change, seconds: several
-# reports, so that a lost one delays an account and does not falsify it.
+# Sums are repeated in reports for this long after their last change. That is
+# several reports, so that a lost one delays the accounting but doesn't distort
+# it.
 _REPORT_REPEAT_SECONDS = 2.0
 
 
 @dataclasses.dataclass
 class _UsageSums:
-    """What an instance was asked and has sent on, since its start, in units.
+    """Units that this instance was asked for and used, since its start.
 
     Attributes:
+        asked: Units of all requests.
+        used: Units of requests that were admitted, less refunds.
         reported: `used` as last reported.
-        counted: The same when the holder was last heard: what its level counts.
-        known: `counted` when a holder with a new term was first heard.
-        changed_at: When one of the sums last changed.
-        unreported: Sent on since the last report.
+        counted: `reported` when the lease holder's state last arrived: what its
+            levels take into account.
+        known: `counted` when the first state of a new term arrived.
+        changed_at: When one of the sums last changed, steady seconds.
+        unreported: Units used since the last report.
     """
 
     asked: float = 0.0
@@ -40,7 +44,7 @@
 
 
 class Limiter:
-    """This instance's parts of all quotas. Used on the event loop only."""
+    """Enforces this instance's quota shares. Used on the event loop only."""
 
     def __init__(
         self,
@@ -61,17 +65,17 @@
 
     @property
     def levels(self) -> dict[str, quota_module.QuotaLevel]:
-        """What the holder last told, by organisation."""
+        """Levels last received from the lease holder, by organisation."""
         return self._levels
 
     def admit(
         self, organisation: organisations.Organisation, units: float
     ) -> float | None:
-        """Takes a request in or not.
+        """Decides whether a request is within its organisation's quota.
 
         Returns:
-            None if it may be sent on, its units are then spent; else the
-            seconds until it could be.
+            None if it is admitted, with its units used; otherwise the seconds
+            until it could be.
         """
         name, quota = organisation.name, organisation.quota
         if not quota.is_limited:
@@ -91,7 +95,7 @@
     def refund(
         self, organisation: organisations.Organisation, units: float
     ) -> None:
-        """Returns the units of a request that was not run after all."""
+        """Gives back the units of an admitted request that was not run."""
         if organisation.name in self._shares:
             self._spend(organisation.name, -units)
 
@@ -105,7 +109,7 @@
     def _find_share(
         self, name: str, quota: organisations.Quota, now: float
     ) -> quota_module.Share:
-        """Returns the share as it is now, under the quota in force."""
+        """Returns the current share under the quota in force."""
         share = self._shares.get(name)
         burst = self._allowance.stretch(quota.rate, quota.burst)
         if share is None:
@@ -124,16 +128,19 @@
     def _find_level(
         self, name: str, quota: organisations.Quota
     ) -> quota_module.QuotaLevel | None:
-        """Returns what was told; an organisation not told of has its burst."""
+        """Returns the announced level, None before the first state.
+
+        An organisation without an announced level has its whole burst.
+        """
         if self._received_at is None:
             return None
         burst = self._allowance.stretch(quota.rate, quota.burst)
         return self._levels.get(name, quota_module.QuotaLevel(burst, 0.0))
 
-    # With the holder
+    # Exchange with the lease holder
 
     def apply_state(self, state: facts.State) -> None:
-        """Takes in what the holder tells of the quotas."""
+        """Applies the quota levels in the lease holder's state."""
         now = clock.now()
         is_new = state.term != self._term
         for sums in self._sums.values():
@@ -158,7 +165,7 @@
 
     @property
     def is_report_due(self) -> bool:
-        """Whether so much was sent on that the holder should hear it now."""
+        """Whether enough units were used that an early report is due."""
         now = clock.now()
         if now - self._reported_at < _MIN_EARLY_REPORT_SECONDS:
             return False
@@ -171,7 +178,7 @@
         )
 
     def list_spendings(self) -> tuple[facts.Spending, ...]:
-        """Returns the sums that a report tells."""
+        """Returns the sums for a report and marks them as reported."""
         now = clock.now()
         self._reported_at = now
         found = []
--- a/src/wayslip/gateway/pages.py
+++ b/src/wayslip/gateway/pages.py
@@ -1,4 +1,4 @@
-"""What an instance answers at its operators' address."""
+"""HTTP pages at the operators' address of an instance."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -17,7 +17,7 @@
 
 
 class Pages:
-    """Figures, states, copies for other instances, and what can be lifted."""
+    """Metrics, state, copies of the configuration, and the quarantine."""
 
     def __init__(
         self,
@@ -72,18 +72,18 @@
 @_PAGES.register("/suspects/lift")
 async def _lift_suspect(pages: Pages, exchange: server.Exchange) -> None:
     if exchange.request.method != b"POST":
-        _refuse(exchange, 405, "a lift changes something", "use POST")
+        _refuse(exchange, 405, "lifting a block changes state", "use POST")
         return
     query = exchange.request.target.partition(b"?")[2].decode("latin-1")
     text = urllib.parse.parse_qs(query).get("content", [""])[0]
     try:
         content = bytes.fromhex(text)
     except ValueError:
-        _refuse(exchange, 400, f"{text} is no digest", "give it in hex")
+        _refuse(exchange, 400, f"{text} is not a digest", "give it in hex")
         return
     if not pages.quarantine.lift(content, "operator"):
-        remedy = "list what is known with wayslipctl suspects"
-        _refuse(exchange, 404, f"no endpoint ended under {text}", remedy)
+        remedy = "list the suspects with wayslipctl suspects"
+        _refuse(exchange, 404, f"no endpoint crashed under {text}", remedy)
         return
     exchange.answer(200, _JSON, json.dumps({"lifted": text}).encode())
 
--- a/src/wayslip/gateway/permit_broker.py
+++ b/src/wayslip/gateway/permit_broker.py
@@ -1,8 +1,9 @@
-"""Places at endpoints that name a limit for all instances together.
+"""Permits for endpoints that name a rate limit for all instances together.
 
-Whoever is about to send a request to one asks the lease's holder for a place
-and gets it at once, a little later, or not. The holder asks its own accounts,
-for its reports and orders too. See `decisions.places`.
+Before an instance sends a request to such an endpoint it asks the lease holder
+for a permit, which is granted at once, with a delay, or not at all. The lease
+holder takes permits from its own buckets, for its reports and orders too. See
+`decisions.permits`.
 """
 
 import asyncio
@@ -22,25 +23,25 @@
 from wayslip.gateway import peer_broadcast as peer_broadcast_module
 
 _LOG = logging.getLogger(__name__)
-# The holder's answer is waited for this long, seconds: a trip there and back,
-# and a plan that it is at work on.
+# Time-out of the lease holder's response: a round trip, and a plan that it may
+# be computing.
 _RESPONSE_TIMEOUT_SECONDS = 0.1
-# An endpoint that is left to other instances is looked at again after this,
-# seconds.
+# Without a lease holder, the pause before an instance considers a limited
+# endpoint again that is left to other instances.
 _EXCLUDED_RETRY_SECONDS = 1.0
-# Accounts that are kept; the oldest are forgotten.
+# Buckets that are kept; the least recently used are dropped.
 _MAX_BUCKETS = 2000
 _DRAW_BYTES = 4
 
 
 class _Buckets:
-    """Accounts of endpoints, by their starts."""
+    """Permit buckets by incarnation of an endpoint."""
 
     def __init__(self, burst: float) -> None:
-        """Initializes without any.
+        """Initializes without buckets.
 
         Args:
-            burst: Places that each saves up at most.
+            burst: Maximum number of permits that a bucket accumulates.
         """
         self._burst = burst
         self._buckets: dict[fleet.Start, permits.PermitBucket] = {}
@@ -48,7 +49,7 @@
     def take(
         self, start: fleet.Start, rate: float, max_wait: float
     ) -> permits.Verdict:
-        """Takes a place of an endpoint under a limit."""
+        """Takes a permit from an endpoint's bucket."""
         now = clock.now()
         bucket = self._buckets.pop(start, None)
         if bucket is None:
@@ -62,16 +63,16 @@
         return verdict
 
     def discard(self, start: fleet.Start) -> None:
-        """Forgets what an endpoint's account has saved up."""
+        """Drops an endpoint's bucket with the permits accumulated there."""
         self._buckets.pop(start, None)
 
     def clear(self) -> None:
-        """Forgets all."""
+        """Drops all buckets."""
         self._buckets.clear()
 
 
 class PermitBroker:
-    """Asks for places, and gives them out. Used on the event loop only."""
+    """Requests and grants permits. Used on the event loop only."""
 
     def __init__(
         self,
@@ -83,15 +84,16 @@
         has_holder_contact: Callable[[], bool],
         count_instances: Callable[[], int],
     ) -> None:
-        """Initializes without any limit.
+        """Initializes without known limits.
 
         Args:
-            name: Of this instance.
-            notices: What endpoints said of themselves.
+            name: Name of this instance.
+            notices: Notices of endpoints, with their limits.
             hub: Sends datagrams.
-            leadership: Knows the lease's holder.
-            peer_broadcast: Whom news concerns.
-            has_holder_contact: Whether the holder was heard a moment ago.
+            leadership: Knows the lease holder.
+            peer_broadcast: Announces limits to the other instances.
+            has_holder_contact: Returns whether the lease holder was heard from
+                recently.
             count_instances: Returns how many instances there are.
         """
         self._name = name
@@ -103,12 +105,12 @@
         self._count_instances = count_instances
         self._granted = _Buckets(permits.BURST)
         self._calls = _Buckets(1.0)
-        # By ourselves, while no holder is heard.
+        # This instance's share of limits, without contact to a lease holder.
         self._local = _Buckets(1.0)
         self._pending: dict[int, asyncio.Future[permits.Verdict]] = {}
         self._last_number = 0
 
-    # What endpoints say
+    # Limits that endpoints name
 
     def note_answer(
         self,
@@ -116,12 +118,12 @@
         limit: float | None,
         sent_at: float,
     ) -> None:
-        """Takes in the limit that an answer names, or that it names none.
+        """Records the limit that an answer names, or that it names none.
 
         Args:
-            endpoint: Whose answer it is.
-            limit: Requests a second, None for no limit.
-            sent_at: When its request was sent, steady seconds.
+            endpoint: The endpoint that answered.
+            limit: Requests per second, None for no limit.
+            sent_at: When the answer's request was sent, steady seconds.
         """
         start = endpoint.start
         if not self._notices.note_limit(start, limit, sent_at):
@@ -131,7 +133,7 @@
         self._peer_broadcast.spread(update)
 
     def apply_update(self, update: facts.Limited, source: str) -> None:
-        """Takes in what another instance heard."""
+        """Records a limit that another instance announced."""
         start = fleet.Start(update.endpoint, update.born)
         if not self._notices.note_limit(start, update.limit, clock.now()):
             return
@@ -150,20 +152,20 @@
             source=source,
         )
 
-    # Asking
+    # Requesting permits
 
     async def take(
         self, endpoint: fleet.Endpoint, max_wait: float, request_id: str
     ) -> permits.Verdict:
-        """Takes a place for one request.
+        """Takes a permit for one request.
 
         Args:
-            endpoint: Where it is to be sent.
-            max_wait: Seconds that it can wait before it is sent.
-            request_id: Of the request.
+            endpoint: The endpoint to send the request to.
+            max_wait: Seconds that the request can wait before it is sent.
+            request_id: Id of the request, for the log.
 
         Returns:
-            A verdict; a place that is granted is spent.
+            A verdict; a granted permit can't be returned.
         """
         limit = self._notices.find_limit(endpoint.start)
         if limit is None:
@@ -190,7 +192,7 @@
         if self._has_holder_contact():
             verdict = await self._request_permit(start, limit, max_wait)
             if verdict is not None:
-                # Our part is saved up from when the holder falls silent.
+                # The local share accumulates only without a lease holder.
                 self._local.discard(start)
                 return verdict, "holder"
         return self._take_from_share(start, limit, max_wait), "part"
@@ -198,7 +200,7 @@
     async def _request_permit(
         self, start: fleet.Start, limit: float, max_wait: float
     ) -> permits.Verdict | None:
-        """Asks the holder; returns None if it does not answer."""
+        """Asks the lease holder; returns None if it doesn't answer."""
         holder = self._leadership.holder_address
         if holder is None:
             return None
@@ -221,19 +223,19 @@
     def _take_from_share(
         self, start: fleet.Start, limit: float, max_wait: float
     ) -> permits.Verdict:
-        """Takes a place of our own part of a limit."""
+        """Takes a permit from this instance's share of a limit."""
         draw = _draw(self._name, start)
         share = permits.find_part(limit, self._count_instances(), draw)
         if share is None:
             return permits.Verdict(False, _EXCLUDED_RETRY_SECONDS)
         return self._local.take(start, share, max_wait)
 
-    # Giving
+    # Granting permits
 
     def answer(
         self, request: facts.PermitRequest, source: hub_module.Address
     ) -> None:
-        """Answers another instance, if we hold the lease."""
+        """Answers another instance, if this instance holds the lease."""
         if not self._leadership.is_held:
             return
         start = fleet.Start(request.endpoint, request.born)
@@ -246,7 +248,7 @@
         self._hub.send(response, source)
 
     def apply_response(self, response: facts.PermitResponse) -> None:
-        """Takes in the holder's answer, unless it comes too late."""
+        """Applies the lease holder's response, unless it is too late."""
         answer = self._pending.get(response.number)
         if answer is not None and not answer.done():
             answer.set_result(
@@ -254,13 +256,13 @@
             )
 
     def begin_term(self) -> None:
-        """Begins to give places out, as a new holder."""
+        """Starts to grant permits as the new lease holder."""
         self._granted.clear()
 
     def may_call(self, endpoint: fleet.Endpoint) -> bool:
-        """Whether the holder may send a report or an order now.
+        """Whether the lease holder may request a report or send an order now.
 
-        The place is spent then.
+        If so, this takes a permit.
         """
         limit = self._notices.find_limit(endpoint.start)
         if limit is None:
--- a/src/wayslip/gateway/prefixes.py
+++ b/src/wayslip/gateway/prefixes.py
@@ -1,6 +1,7 @@
-"""Which parts of prompts an engine is thought to have in its cache.
+"""Estimates which prompt prefixes an engine has in its cache.
 
-Only what this instance sent is known; an engine may have dropped it since.
+Only prompts that this instance sent are known, and an engine may have evicted
+them since.
 """
 
 import collections
@@ -8,12 +9,12 @@
 
 from wayslip.gateway import dialect
 
-# Chains of parts remembered for one engine, least recently used dropped.
+# Prefixes tracked per engine; the least recently used are dropped.
 _MAX_CHAINS = 512
 
 
 class PrefixTable:
-    """Parts of prompts by the engine that read them."""
+    """Prompt prefixes by the engine that read them."""
 
     def __init__(self) -> None:
         self._chains: dict[str, collections.OrderedDict[str, None]] = {}
@@ -21,7 +22,7 @@
     def count_cached(
         self, engine: str, item: str, parts: Sequence[dialect.Part]
     ) -> int:
-        """Returns the tokens of a prompt's start that an engine has read."""
+        """Returns how many tokens of a prompt's start an engine has read."""
         known = self._chains.get(engine)
         if not known:
             return 0
@@ -37,7 +38,7 @@
     def note(
         self, engine: str, item: str, parts: Sequence[dialect.Part]
     ) -> None:
-        """Notes that an engine reads a prompt."""
+        """Records that an engine reads a prompt."""
         known = self._chains.setdefault(engine, collections.OrderedDict())
         chain = item
         for part in parts:
@@ -48,5 +49,5 @@
             known.popitem(last=False)
 
     def forget(self, engine: str) -> None:
-        """Drops what an engine that is gone had read."""
+        """Drops the prefixes of an engine that was removed."""
         self._chains.pop(engine, None)
--- a/src/wayslip/gateway/view.py
+++ b/src/wayslip/gateway/view.py
@@ -1,8 +1,8 @@
-"""The endpoints as this instance sees them: the list, load and condition.
+"""The endpoints as this instance knows them: the list, load and condition.
 
-The list comes from the store. What the lease's holder tells of its orders
-goes before it for a while, because an entry in the store follows an order
-only with the engine's next heartbeat.
+The list comes from the store. Item updates from the lease holder take
+precedence for a while, because an engine's entry in the store reflects an order
+only after the engine's next heartbeat.
 """
 
 from collections.abc import Callable
@@ -22,26 +22,31 @@
 from wayslip.gateway import prefixes
 
 _LOG = logging.getLogger(__name__)
-# How long word of an order goes before the engine's entry, seconds: two
-# heartbeats and the list's lag.
+# How long an item update takes precedence over the engine's entry: two
+# heartbeats and the lag of the list.
 _ITEM_UPDATE_SECONDS = 4.0
-# An endpoint with requests out and no byte from it for this long is not given
-# more, seconds: above the longest pause that a sheet allows between events.
+# An endpoint with requests in flight that sent no byte for this long counts as
+# unresponsive. It is longer than the longest pause between events that the
+# operators' documentation allows.
 _MAX_SILENCE_SECONDS = 1.5
-# Less unread work than this at an endpoint does not disturb a sample, seconds.
+# Less unread work than this at an endpoint doesn't distort a sample of its
+# reading rate.
 _MAX_OTHER_UNREAD_SECONDS = 0.01
 
 
 @dataclasses.dataclass
 class Tracked:
-    """An endpoint with what this instance knows of it.
+    """An endpoint and what this instance knows of it.
 
     Attributes:
-        in_flight: This instance's requests there.
-        unread: The prompts of those without a first byte.
-        tokens: Tokens that they may take of its memory.
-        others: Other instances' requests and unread prompts, as last told.
-        heard: When its last byte came.
+        in_flight: This instance's requests in flight there.
+        unread: The prompts of those that got no byte of an answer yet.
+        tokens: Tokens of the endpoint's memory that they may take.
+        others: Requests and unread prompts of other instances, as last
+            received.
+        waits_since: When `in_flight` last rose from 0, steady seconds.
+        heard: When the last byte of an answer arrived, steady seconds.
+        is_gone: Whether it was removed from the list.
     """
 
     endpoint: fleet.Endpoint
@@ -57,12 +62,12 @@
 
 @dataclasses.dataclass
 class ActiveRequest:
-    """One request at an endpoint, from choice to end.
+    """One request at an endpoint, from its choice to its end.
 
     Attributes:
-        unread: Its prompt, empty after its first byte.
-        tokens: Tokens that it may take of the endpoint's memory.
-        uncached: Tokens of its prompt that have to be read.
+        unread: Its prompt, empty after the first byte of the answer.
+        tokens: Tokens of the endpoint's memory that it may take.
+        uncached: Tokens of its prompt that are not in the endpoint's cache.
         is_alone: Whether no other prompt was unread when it was sent.
     """
 
@@ -85,27 +90,27 @@
         self.notices = endpoint_notices_module.EndpointNotices()
         self.prefixes = prefixes.PrefixTable()
         self.reading = reading.ReadingRates()
-        # Word of orders: (endpoint, model, adapter) to (is held, until).
+        # Item updates: (endpoint, model, adapter) to (is held, valid until).
         self._item_updates: dict[tuple[str, str, str], tuple[bool, float]] = {}
 
     # The list
 
     def apply_entry(self, endpoint: fleet.Endpoint) -> None:
-        """Takes in an endpoint's entry, unless a newer one is known."""
+        """Applies an endpoint's entry, unless a newer one is known."""
         if endpoint.is_leaving:
-            # The list may come back from a copy that does not say so yet.
+            # Recorded here because a restored copy of the list may lack it.
             self.notices.note_leaving(endpoint.start)
         elif self.notices.is_leaving(endpoint):
-            # Written before it said so, or by one that did not hear.
+            # The entry was written before the notice or without it.
             endpoint = dataclasses.replace(endpoint, is_leaving=True)
         tracked = self.tracked.get(endpoint.name)
         if tracked is not None and endpoint.succeeds(tracked.endpoint):
-            # Whatever ran there, was held or was told of it ended with it.
+            # All that is known of the earlier incarnation is obsolete.
             self.remove(endpoint.name)
             tracked = None
         if tracked is not None and endpoint.is_before(tracked.endpoint):
-            # It may be told late, or by an earlier holder of the lease. What
-            # it does not show, as that the endpoint is leaving, still holds.
+            # The entry arrived late or from an earlier lease holder. What it
+            # lacks, such as that the endpoint is leaving, still holds.
             logs.event(
                 _LOG,
                 "entry_is_old",
@@ -129,14 +134,14 @@
         )
 
     def note_leaving(self, start: fleet.Start, source: str) -> bool:
-        """Takes in that an endpoint said it takes no new work.
+        """Records that an endpoint announced that it takes no new work.
 
         Args:
-            start: Of the endpoint.
-            source: Who heard it.
+            start: The endpoint's incarnation.
+            source: Which instance received the announcement.
 
         Returns:
-            Whether it was news.
+            Whether that was not known yet.
         """
         if not self.notices.note_leaving(start):
             return False
@@ -153,7 +158,7 @@
         return True
 
     def remove(self, name: str) -> None:
-        """Takes an endpoint out; requests there go on."""
+        """Removes an endpoint; its requests in flight continue."""
         tracked = self.tracked.pop(name, None)
         if tracked is None:
             return
@@ -166,7 +171,7 @@
         self._log("endpoint_gone", tracked.endpoint)
 
     def replace_all(self, endpoints: Iterable[fleet.Endpoint]) -> None:
-        """Takes in a whole list."""
+        """Replaces the list of endpoints."""
         listed = {e.name: e for e in endpoints}
         for name in [n for n in self.tracked if n not in listed]:
             self.remove(name)
@@ -193,7 +198,7 @@
     def note_item(
         self, name: str, model: str, adapter: str, is_held: bool
     ) -> bool:
-        """Takes word of an order; returns whether it was news."""
+        """Records an item update; returns whether it changes what is known."""
         now = clock.now()
         known = self._item_updates.get((name, model, adapter))
         self._item_updates[(name, model, adapter)] = (
@@ -222,7 +227,7 @@
         return endpoint.holds(model, adapter)
 
     def holds_anywhere(self, service: str, model: str) -> bool:
-        """Whether an endpoint that stays can serve a model, adapters aside."""
+        """Whether an endpoint that isn't leaving holds a model."""
         return any(
             not t.endpoint.is_leaving and self.holds(t.endpoint, model, "")
             for t in self.of_service(service)
@@ -263,15 +268,15 @@
     def _may_serve(
         self, endpoint: fleet.Endpoint, traits: dialect.Traits
     ) -> bool:
-        """Whether an endpoint that stays holds what a request needs."""
+        """Whether an endpoint isn't leaving and holds what a request needs."""
         if endpoint.is_leaving:
             return False
         return self.holds(endpoint, traits.model, traits.adapter)
 
     def note_backoff(self, active: ActiveRequest, seconds: float) -> None:
-        """Notes that an endpoint asked for rest.
+        """Records that an endpoint asked for a back-off.
 
-        That is a bound and no preference: it turns away what comes meanwhile.
+        This is binding: the endpoint refuses requests until it is over.
         """
         endpoint = active.tracked.endpoint
         self.notices.note_backoff(endpoint, seconds)
@@ -287,10 +292,11 @@
     def find_backoff(
         self, service: str, traits: dialect.Traits, excluded: frozenset[str]
     ) -> float | None:
-        """Returns the seconds until one that can serve a request may take it.
+        """Returns the shortest back-off of the endpoints that can serve.
 
         Returns:
-            0 if one may now, None if none can serve it.
+            Seconds, 0 if an endpoint may get the request now, None if no
+            endpoint can serve it.
         """
         pauses = (
             self.notices.find_pause(t.endpoint)
@@ -301,10 +307,11 @@
         return min(pauses, default=None)
 
     def find_limit(self, service: str, traits: dialect.Traits) -> float | None:
-        """Returns what all that can serve a request take, requests a second.
+        """Returns the sum of the limits of endpoints that can serve a request.
 
         Returns:
-            None if one of them names no limit, or if there is none.
+            Requests per second, None if no endpoint can serve it or one of them
+            names no limit.
         """
         limits = [
             self.notices.find_limit(t.endpoint.start)
@@ -343,10 +350,10 @@
             is_limited=self.notices.find_limit(endpoint.start) is not None,
         )
 
-    # What this instance does
+    # Requests of this instance
 
     def count_uncached(self, name: str, traits: dialect.Traits) -> int:
-        """Returns the tokens of a prompt that an endpoint has to read."""
+        """Returns how many tokens of a prompt an endpoint has to read."""
         if not traits.parts:
             return traits.prompt_tokens
         item = f"{traits.model}/{traits.adapter}"
@@ -383,7 +390,7 @@
         return active
 
     def note_bytes(self, active: ActiveRequest) -> None:
-        """Notes that bytes came; the prompt was read."""
+        """Records that bytes arrived, so that the prompt was read."""
         now = clock.now()
         active.tracked.heard = now
         if not active.unread:
@@ -400,20 +407,20 @@
         active.unread = backlog.EMPTY
 
     def end(self, active: ActiveRequest) -> None:
-        """Counts a request that ended, however it did."""
+        """Stops counting a request that ended, whatever its outcome."""
         tracked = active.tracked
         tracked.in_flight -= 1
         tracked.tokens -= active.tokens
         self._end_reading(active)
 
     def note_answer(self, active: ActiveRequest, is_failure: bool) -> None:
-        """Notes an endpoint's own answer."""
+        """Records an endpoint's own answer."""
         tracked = active.tracked
         now = clock.now()
         tracked.condition = tracked.condition.note(is_failure, now)
 
     def note_failed_attempt(self, active: ActiveRequest) -> None:
-        """Notes that an endpoint was not reached, or broke off."""
+        """Records that an endpoint was unreachable or its answer broke off."""
         tracked = active.tracked
         tracked.condition = tracked.condition.miss(clock.now())
 
@@ -423,7 +430,7 @@
 
 
 def _is_unresponsive(tracked: Tracked, now: float) -> bool:
-    """Whether requests are out there and nothing came for too long."""
+    """Whether requests are in flight and no byte arrived for too long."""
     if not tracked.in_flight:
         return False
     return now - max(tracked.heard, tracked.waits_since) > _MAX_SILENCE_SECONDS
