--- a/tests/gateway/test_endpoint_notices.py
+++ b/tests/gateway/test_endpoint_notices.py
@@ -27,14 +27,14 @@
     await line.answer(request, engine.name.encode(), Server_Leaving="1")
 
 
-def make_resting(seconds):
+def make_backing_off(seconds):
     """Returns a script that turns requests away and asks for rest."""
 
-    async def ask_for_rest(engine, request, line):
+    async def ask_for_backoff(engine, request, line):
         headers = {"Wayslip-Not-Executed": "1", "Retry-After": str(seconds)}
         await line.answer(request, b"", 503, **headers)
 
-    return ask_for_rest
+    return ask_for_backoff
 
 
 async def ask_many(system, count=20, path="/get/a"):
@@ -42,7 +42,7 @@
 
 
 @harness.run
-async def test_engine_that_says_that_it_leaves_gets_no_more(
+async def test_engine_that_announces_leaving_gets_no_more_requests(
     system,
 ):
     leaving = await system.add("e1", "plain", script=announce_leaving)
@@ -54,7 +54,7 @@
 
 
 @harness.run
-async def test_answer_that_says_so_is_passed_on_as_it_is(system):
+async def test_answer_with_a_notice_is_forwarded_unchanged(system):
     await system.add("e1", "plain", script=announce_leaving)
     answer = await system.ask("/get/a")
     assert (answer.status, answer.body) == (200, b"e1")
@@ -62,7 +62,7 @@
 
 
 @harness.run
-async def test_entry_that_still_says_ready_does_not_undo_it(system):
+async def test_entry_that_still_says_ready_does_not_clear_the_notice(system):
     leaving = await system.add("e1", "plain", script=announce_leaving)
     await system.ask("/get/a")
     address = system.gateway.view.tracked["e1"].endpoint.address
@@ -75,7 +75,7 @@
 
 
 @harness.run
-async def test_entry_that_lapsed_and_came_back_does_not_undo_it(system):
+async def test_entry_that_reappears_does_not_clear_the_notice(system):
     leaving = await system.add("e1", "plain", script=announce_leaving)
     await system.ask("/get/a")
     address = system.gateway.view.tracked["e1"].endpoint.address
@@ -88,7 +88,7 @@
 
 
 @harness.run
-async def test_later_start_under_the_same_id_gets_requests(system):
+async def test_later_incarnation_under_the_same_id_gets_requests(system):
     engine = await system.add("e1", "plain", script=announce_leaving)
     await system.ask("/get/a")
     engine.script = platform_engine.answer_whole
@@ -101,7 +101,7 @@
 
 
 @harness.run
-async def test_other_instances_hear_of_it(system):
+async def test_other_instances_receive_the_notice(system):
     leaving = await system.add("e1", "plain", script=announce_leaving)
     other = await system.join("g2")
     await system.until(lambda: "e1" in other.view.tracked)
@@ -112,31 +112,31 @@
 
 
 @harness.run
-async def test_engine_that_asks_for_rest_gets_none_until_it_is_over(system):
-    resting = await system.add("e1", "plain", script=make_resting(3000))
+async def test_engine_gets_no_requests_during_its_backoff(system):
+    refusing = await system.add("e1", "plain", script=make_backing_off(3000))
     await system.ask("/get/a")
     await system.add("e2", "plain")
     answers = await ask_many(system)
     assert {a.body for a in answers} == {b"e2"}
-    assert len(resting.received) == 1
+    assert len(refusing.received) == 1
 
 
 @harness.run
-async def test_request_is_refused_with_the_time_at_which_the_rest_ends(system):
-    resting = await system.add("e1", "plain", script=make_resting(3000))
+async def test_refused_request_gets_the_end_of_the_backoff(system):
+    refusing = await system.add("e1", "plain", script=make_backing_off(3000))
     await system.ask("/get/a")
     answers = await ask_many(system)
     assert {a.status for a in answers} == {503}
     for answer in answers:
         assert 2900.0 < float(answer.headers["retry-after"]) < 3100.0
-    assert len(resting.received) == 1
+    assert len(refusing.received) == 1
 
 
 @harness.run
-async def test_request_waits_for_a_rest_that_ends_soon(system):
-    resting = await system.add("e1", "plain", script=make_resting(0.3))
+async def test_request_waits_for_a_backoff_that_ends_soon(system):
+    refusing = await system.add("e1", "plain", script=make_backing_off(0.3))
     await system.ask("/get/a")
-    resting.script = platform_engine.answer_whole
+    refusing.script = platform_engine.answer_whole
     began = time.monotonic()
     answer = await system.ask("/get/a", "r2")
     assert answer.status == 200
@@ -144,23 +144,23 @@
 
 
 @harness.run
-async def test_longest_rest_wins(system):
+async def test_longest_backoff_applies(system):
     async def ask_for_less_each_time(engine, request, line):
         seconds = 3000 if len(engine.received) == 1 else 0
-        await make_resting(seconds)(engine, request, line)
+        await make_backing_off(seconds)(engine, request, line)
 
-    resting = await system.add("e1", "plain", script=ask_for_less_each_time)
+    refusing = await system.add("e1", "plain", script=ask_for_less_each_time)
     tracked = system.gateway.view.tracked["e1"]
     # Two that were under way together.
     await asyncio.gather(system.ask("/get/a", "r1"), system.ask("/get/a", "r2"))
     answers = await ask_many(system)
     assert {a.status for a in answers} == {503}
-    assert len(resting.received) <= 2
+    assert len(refusing.received) <= 2
     assert tracked is system.gateway.view.tracked["e1"]
 
 
 @harness.run
-async def test_instance_that_knows_no_peers_yet_tells_the_holder(system):
+async def test_instance_without_known_peers_notifies_the_lease_holder(system):
     # Whoever had just started told nobody that an engine leaves.
     await system.add("e1", "plain", script=announce_leaving)
     others = [await system.join(name) for name in ("g2", "g3")]
--- a/tests/gateway/test_engine_limits.py
+++ b/tests/gateway/test_engine_limits.py
@@ -11,20 +11,23 @@
 from tests.gateway import harness
 from tests.gateway import test_placement
 
-WINDOW = 4.0
+WINDOW_SECONDS = 4.0
 
 
-def count_most(times, since=0.0):
+def count_max_in_window(times, since=0.0):
     """Returns the most that came within some window."""
-    late = [at for at in times if at >= since]
+    counted = [at for at in times if at >= since]
     return max(
-        (sum(at <= one < at + WINDOW for one in late) for at in late),
+        (
+            sum(at <= one < at + WINDOW_SECONDS for one in counted)
+            for at in counted
+        ),
         default=0,
     )
 
 
-def find_allowed(limit):
-    return 1.5 * WINDOW * limit + 5
+def compute_allowed(limit):
+    return 1.5 * WINDOW_SECONDS * limit + 5
 
 
 async def add_limited(system, name="e1", service="plain", limit=1, **fields):
@@ -64,22 +67,22 @@
     began = time.monotonic() + 0.5
     answers = await ask_all(system, gateways, 5.0)
     assert {a.status for a in answers} == {200}
-    assert count_most(limited.calls, began) <= find_allowed(1)
+    assert count_max_in_window(limited.calls, began) <= compute_allowed(1)
 
 
 @harness.run
-async def test_sole_engine_with_a_limit_is_used_to_it(system):
+async def test_only_engine_is_used_up_to_its_limit(system):
     limited = await add_limited(system, limit=4)
     gateways = await join_two(system)
     await asyncio.gather(*(system.ask("/get/a", at=g) for g in gateways))
     began = time.monotonic() + 0.5
     answers = await ask_all(system, gateways, 4.0)
-    assert count_most(limited.calls, began) <= find_allowed(4)
+    assert count_max_in_window(limited.calls, began) <= compute_allowed(4)
     assert sum(a.status == 200 for a in answers) >= 12
 
 
 @harness.run
-async def test_refused_requests_are_told_when_a_place_is_free(system):
+async def test_refused_requests_get_the_time_of_the_next_permit(system):
     limited = await add_limited(system, limit=0.01)
     await system.ask("/get/a")
     began = time.monotonic()
@@ -92,7 +95,7 @@
 
 
 @harness.run
-async def test_refused_requests_are_told_different_places(system):
+async def test_refused_requests_get_different_retry_times(system):
     # All would come back for one place in the same moment.
     await add_limited(system, limit=0.5)
     await system.until(lambda: system.gateway._placement.instances == 1)
@@ -105,7 +108,7 @@
 
 
 @harness.run
-async def test_request_waits_for_a_place_that_is_free_soon(system):
+async def test_request_waits_for_a_permit_that_is_free_soon(system):
     await add_limited(system, limit=10)
     await system.ask("/get/a")
     asked = [system.ask("/get/a", f"r{n}") for n in range(4)]
@@ -114,7 +117,7 @@
 
 
 @harness.run
-async def test_instances_that_got_no_such_answer_heed_it(system):
+async def test_instances_without_such_an_answer_apply_the_limit(system):
     limited = await add_limited(system, limit=0.01)
     gateways = await join_two(system)
     await system.ask("/get/a")
@@ -137,7 +140,7 @@
 
 
 @harness.run
-async def test_newest_limit_counts_and_not_the_largest(system):
+async def test_newest_limit_applies_even_if_lower(system):
     limited = await add_limited(system, limit=50)
     await system.ask("/get/a")
     limited.limit = 0.01
@@ -171,7 +174,7 @@
 
 
 @harness.run
-async def test_later_start_under_the_same_id_has_no_limit(system):
+async def test_later_incarnation_under_the_same_id_has_no_limit(system):
     limited = await add_limited(system, limit=0.01)
     await system.ask("/get/a")
     limited.limit = None
@@ -184,7 +187,7 @@
 
 
 @harness.run
-async def test_reports_and_orders_take_places_too(system):
+async def test_reports_and_orders_take_permits_too(system):
     limited = await add_limited(
         system, service="models", limit=1, models=("m1",)
     )
@@ -198,5 +201,5 @@
             system, model, f"r{number}", at=gateways[number % 3]
         )
         await asyncio.sleep(0.08)
-    assert count_most(limited.calls, began) <= find_allowed(1)
+    assert count_max_in_window(limited.calls, began) <= compute_allowed(1)
     assert limited.orders
--- a/tests/gateway/test_harness.py
+++ b/tests/gateway/test_harness.py
@@ -7,7 +7,7 @@
 
 
 @harness.run
-async def test_gateway_whose_port_is_taken_is_no_silent_time_out(system):
+async def test_start_error_of_a_gateway_is_raised(system):
     # A test waited 10 s for a gateway that had ended and told nothing.
     options = harness.make_options("g2", system.options.store)
     gateway = system._launch(
@@ -18,7 +18,7 @@
     del system._tasks[gateway]
 
 
-def test_port_that_a_datagram_socket_has_is_not_given_out():
+def test_port_of_a_datagram_socket_is_not_free():
     host = ports.make_own_host()
     port = ports.find_free(host)
     with ports.hold(host, port):
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -41,7 +41,7 @@
 
 
 @harness.run
-async def test_key_becomes_the_organisation_and_goes_no_further(system):
+async def test_key_is_replaced_by_the_organisation_name(system):
     engine = await begin(system, organisation("shop"), organisation("bank"))
     answer = await system.ask(
         "/get/a",
@@ -57,7 +57,7 @@
 
 
 @harness.run
-async def test_unknown_key_is_refused_for_good(system):
+async def test_unknown_key_is_refused_with_401(system):
     engine = await begin(system, organisation("shop"))
     for fields in ({}, {"Wayslip_Key": "no-key"}, {"Wayslip_Key": ""}):
         answer = await system.ask("/get/a", **fields)
@@ -74,7 +74,7 @@
 
 
 @harness.run
-async def test_key_that_is_taken_away_stops(system):
+async def test_revoked_key_is_refused(system):
     engine = await begin(system, organisation("shop"), organisation("bank"))
     assert (await system.ask("/get/a", Wayslip_Key=KEYS["bank"])).status == 200
     configure(system, 3, organisation("shop"))
@@ -94,7 +94,7 @@
 
 
 @harness.run
-async def test_keys_lapse_where_nobody_confirms_them(system):
+async def test_keys_expire_without_confirmation(system):
     # With a bound of 1.6 s keys are relied on for 0.5 s without a word.
     bounds = dataclasses.replace(system.options.bounds, revocation=1.6)
     await begin(system, organisation("shop"), once={"public": True})
@@ -117,7 +117,7 @@
 
 
 @harness.run
-async def test_instance_that_reads_nothing_itself_is_confirmed_by_another(
+async def test_instance_without_store_access_is_confirmed_by_another(
     system,
 ):
     bounds = dataclasses.replace(system.options.bounds, revocation=2.5)
@@ -148,7 +148,7 @@
 
 
 @harness.run
-async def test_what_exceeds_the_quota_is_refused_with_a_time(system):
+async def test_request_over_quota_is_refused_with_a_retry_time(system):
     quota = organisation("shop", rate_per_s=1000, burst=1000)
     engine = await begin(system, quota, organisation("bank"))
     statuses = []
@@ -168,7 +168,7 @@
 
 
 @harness.run
-async def test_request_that_was_not_run_gives_its_units_back(system):
+async def test_request_that_was_not_run_is_refunded(system):
     quota = organisation("shop", rate_per_s=1000, burst=1000)
     configure(system, 2, quota)
     await system.until(lambda: system.gateway.holder.version == 2)
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -30,7 +30,7 @@
     await line.write(b"0\r\n\r\n")
 
 
-async def break_off_amid_event(engine, request, line):
+async def break_off_inside_event(engine, request, line):
     await line.write(stream_head(request))
     await line.write(chunk(EVENTS[0]) + chunk(EVENTS[1]))
     await line.write(chunk(EVENTS[2][:5]))
@@ -53,7 +53,7 @@
 
 
 @harness.run
-async def test_answer_passes_unchanged_with_its_seal(system):
+async def test_answer_is_forwarded_unchanged_with_its_seal(system):
     engine = await system.add("e1", "plain")
     answer = await system.ask("/get/a?x=1", "r9")
     assert (answer.status, answer.body) == (200, b"e1")
@@ -80,7 +80,7 @@
 
 
 @harness.run
-async def test_repeatable_request_goes_to_another_endpoint(system):
+async def test_idempotent_request_is_retried_at_another_endpoint(system):
     await system.add("e1", "plain", script=reset)
     await system.add("e2", "plain")
     for number in range(6):
@@ -89,7 +89,7 @@
 
 
 @harness.run
-async def test_request_that_may_not_repeat_runs_once_after_a_reset(system):
+async def test_non_idempotent_request_runs_once_after_a_reset(system):
     first = await system.add("e1", "plain", script=reset)
     second = await system.add("e2", "plain", script=reset)
     answer = await system.ask("/once/a", method="POST", body=b"x")
@@ -99,7 +99,7 @@
 
 
 @harness.run
-async def test_refusal_of_an_endpoint_is_tried_elsewhere(system):
+async def test_refused_request_is_retried_at_another_endpoint(system):
     await system.add("e1", "plain", script=refuse)
     await system.add("e2", "plain")
     # Until the holder tells how many instances share the budget of repeats,
@@ -113,7 +113,7 @@
 
 
 @harness.run
-async def test_refused_everywhere_says_not_run_and_when_to_come_back(system):
+async def test_request_refused_by_all_endpoints_gets_a_retry_time(system):
     await system.add("e1", "plain", script=refuse)
     answer = await system.ask("/once/a", method="POST", body=b"x")
     assert answer.status == 503
@@ -130,7 +130,7 @@
 
 
 @harness.run
-async def test_unsealed_success_is_not_passed_on(system):
+async def test_unsealed_success_is_not_forwarded(system):
     async def unsealed(engine, request, line):
         await line.answer(request, b"fake", Wayslip_Server_Seal="")
 
@@ -141,7 +141,7 @@
 
 
 @harness.run
-async def test_encoded_body_is_not_the_endpoints(system):
+async def test_answer_with_content_encoding_is_not_genuine(system):
     async def encoded(engine, request, line):
         await line.answer(request, b"odd", Content_Encoding="gzip")
 
@@ -151,7 +151,7 @@
 
 
 @harness.run
-async def test_endpoints_own_failure_passes_with_its_status(system):
+async def test_endpoint_failure_is_forwarded_with_its_status(system):
     async def fail(engine, request, line):
         await line.answer(request, b"no", 500)
 
@@ -175,13 +175,13 @@
 
 
 @harness.run
-async def test_cut_answer_does_not_look_complete(system):
-    async def cut(engine, request, line):
+async def test_truncated_answer_is_not_forwarded_as_complete(system):
+    async def truncate(engine, request, line):
         whole = platform_engine.format_answer(request.id, b"y" * 100)
         await line.write(whole[:-50])
         line.reset()
 
-    await system.add("e1", "plain", script=cut)
+    await system.add("e1", "plain", script=truncate)
     answer = await system.ask("/once/a", method="POST", body=b"x")
     assert answer.status == 502
 
@@ -202,7 +202,7 @@
 
 
 @harness.run
-async def test_timeout_of_the_route_is_answered_at_it(system):
+async def test_route_timeout_is_answered_with_504(system):
     engine = await system.add("e1", "plain", script=hang)
     answer = await system.ask("/once/a", method="POST", body=b"x")
     assert answer.status == 504
@@ -210,7 +210,7 @@
 
 
 @harness.run
-async def test_endpoint_stops_when_the_client_leaves(system):
+async def test_endpoint_connection_closes_when_the_client_disconnects(system):
     engine = await system.add("e1", "plain", script=hang)
     client = await system.connect()
     await client.send("/get/a", "r1")
@@ -220,8 +220,8 @@
 
 
 @harness.run
-async def test_stream_goes_on_at_the_last_whole_event(system):
-    await system.add("e1", "models", ["m1"], break_off_amid_event)
+async def test_stream_is_resumed_after_the_last_whole_event(system):
+    await system.add("e1", "models", ["m1"], break_off_inside_event)
     answer = await ask_stream(system, "/gen/a")
     assert not answer.is_whole
     await system.add("e2", "models", ["m1"], stream_whole)
@@ -232,8 +232,8 @@
 
 
 @harness.run
-async def test_stream_that_may_not_resume_is_broken_off(system):
-    engine = await system.add("e1", "models", ["m1"], break_off_amid_event)
+async def test_stream_that_is_not_resumable_is_aborted(system):
+    engine = await system.add("e1", "models", ["m1"], break_off_inside_event)
     other = await system.add("e2", "models", ["m2"], stream_whole)
     answer = await ask_stream(system, "/live/a")
     assert not answer.is_whole
@@ -242,7 +242,7 @@
 
 
 @harness.run
-async def test_stream_that_breaks_before_its_first_event_has_a_status(system):
+async def test_stream_that_breaks_before_its_first_event_gets_a_status(system):
     async def head_only(engine, request, line):
         await line.write(stream_head(request))
         await asyncio.sleep(0.02)
@@ -266,14 +266,14 @@
 
 
 @harness.run
-async def test_without_configuration_it_is_not_known_what_is_allowed(system):
+async def test_without_configuration_unknown_route_is_503(system):
     system.gateway.holder.manifest = None
     answer = await system.ask("/nowhere/")
     assert answer.status == 503
 
 
 @harness.run
-async def test_leaving_endpoint_gets_nothing_new(system):
+async def test_leaving_endpoint_gets_no_new_requests(system):
     engine = await system.add("e1", "plain")
     await system.add("e2", "plain")
     value = system.store.objects["servers"]["e1"]["spec"]
@@ -287,7 +287,7 @@
 
 
 @harness.run
-async def test_misdirected_request_did_not_run(system):
+async def test_misdirected_request_counts_as_not_run(system):
     async def elsewhere(engine, request, line):
         await line.answer(request, b"", 421, Wayslip_Server_Seal="")
 
@@ -297,7 +297,7 @@
 
 
 @harness.run
-async def test_planned_stop_cuts_nothing(system):
+async def test_planned_stop_finishes_requests_in_flight(system):
     release = asyncio.Event()
 
     async def slow(engine, request, line):
--- a/tests/gateway/test_suspended.py
+++ b/tests/gateway/test_suspended.py
@@ -43,40 +43,40 @@
 
 
 @harness.run
-async def test_lease_has_run_out(system):
+async def test_lease_expires_during_suspension(system):
     await system.until(lambda: system.gateway.leadership.is_valid)
     with suspend(5.0):
         assert not system.gateway.leadership.is_valid
 
 
 @harness.run
-async def test_holders_word_of_the_store_is_old(system):
-    seen = staleness.Staleness(1.3, lambda: False)
-    seen.hear(0.1, True)
-    assert seen.is_fresh
+async def test_store_progress_from_the_lease_holder_becomes_stale(system):
+    store_staleness = staleness.Staleness(1.3, lambda: False)
+    store_staleness.hear(0.1, True)
+    assert store_staleness.is_fresh
     with suspend(5.0):
-        assert not seen.is_fresh
+        assert not store_staleness.is_fresh
 
 
 @harness.run
-async def test_configuration_is_not_confirmed_any_more(system):
+async def test_confirmation_of_the_configuration_expires(system):
     bounds = options_module.Bounds(revocation=5.0)
     options = options_module.Options(
         "g", "127.0.0.1", "h", "", "", "", "127.0.0.1:1", 0, bounds
     )
     holder = configuration.Holder()
     holder.offer(system.gateway.holder.manifest)
-    known = confirmations.Confirmations(
+    config_confirmations = confirmations.Confirmations(
         options, holder, None, lambda: None, list, None, None
     )
-    known.note_read(clock.now())
-    assert known.is_reliable
+    config_confirmations.note_read(clock.now())
+    assert config_confirmations.is_reliable
     with suspend(6.0):
-        assert not known.is_reliable
+        assert not config_confirmations.is_reliable
 
 
 @harness.run
-async def test_word_of_an_order_is_over(system):
+async def test_item_update_expires(system):
     view = view_module.EndpointView("hall-1")
     endpoint = fleet.Endpoint("e1", "models", "127.0.0.1:1", "hall-1")
     view.apply_entry(endpoint)
@@ -87,21 +87,23 @@
 
 
 @harness.run
-async def test_holder_without_the_store_goes_on_no_longer(system):
+async def test_detached_operation_ends(system):
     detached_operation = (
         system.gateway._order_sender.claims.is_detached.__closure__[0]
     )
     detached_operation = detached_operation.cell_contents
     leadership = system.gateway.leadership
     await system.until(lambda: leadership.is_valid)
-    word = detachment.PeerStatus(
+    peer_status = detachment.PeerStatus(
         detachment.read_stamp(detachment.make_stamp(clock.now() + 1.0)),
         True,
     )
     members = detached_operation._members
     with (
         mock.patch.object(type(leadership), "is_renewal_overdue", True),
-        mock.patch.object(members, "list_words", lambda term, own: [word]),
+        mock.patch.object(
+            members, "list_words", lambda term, own: [peer_status]
+        ),
         mock.patch.object(members, "list_missing", list),
     ):
         assert detached_operation.is_granted
@@ -110,7 +112,7 @@
 
 
 @harness.run
-async def test_part_of_a_quota_is_not_taken_for_full_at_an_old_word(system):
+async def test_quota_share_refills_during_suspension(system):
     holder = configuration.Holder()
     limiter = limits.Limiter(holder, quota.Allowance())
     organisation = organisations.Organisation(
@@ -125,7 +127,7 @@
 
 
 @harness.run
-async def test_idle_connection_is_used_no_more(system):
+async def test_idle_connection_expires(system):
     engine = await system.add("e1", "plain")
     host, _, port = (await engine.start()).rpartition(":")
     connections = pool.Pool(0.4)
@@ -137,7 +139,7 @@
 
 
 @harness.run
-async def test_timers_of_the_event_loop_count_the_time(system):
+async def test_event_loop_timers_count_suspended_time(system):
     del system
     loop = asyncio.get_running_loop()
     before = loop.time()
