--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -1,4 +1,4 @@
-"""A gateway before stand-ins of the platform, all in one event loop."""
+"""A gateway with stand-ins of the platform, all in one event loop."""
 
 import asyncio
 import contextlib
@@ -40,12 +40,12 @@
 
 
 def replace_peers(options, peers):
-    """Returns the options with another address for peers."""
+    """Returns the options with another peer address."""
     return dataclasses.replace(options, peers=peers)
 
 
 def make_distribution(manifest, bytes_per_s):
-    """Returns the distribution of an instance that has a configuration."""
+    """Returns the distribution of an instance with a configuration."""
     options = make_options("g1", "127.0.0.1:1")
     holder = configuration.Holder()
     holder.offer(manifest)
@@ -83,7 +83,7 @@
         return gateway
 
     async def join(self, name, bounds=None):
-        """Adds another gateway; returns it once it hears the lease's holder."""
+        """Adds a gateway; returns it once the lease holder is in contact."""
         options = make_options(name, self.options.store)
         gateway = self._launch(
             dataclasses.replace(options, bounds=bounds or options.bounds)
@@ -94,7 +94,7 @@
         return gateway
 
     async def kill(self, gateway):
-        """Ends a gateway without a planned stop."""
+        """Stops a gateway abruptly, without a planned stop."""
         gateway._stopping.set()
         task = self._tasks.pop(gateway)
         task.cancel()
@@ -129,7 +129,7 @@
                 await asyncio.sleep(0.01)
 
     def _raise_failure(self):
-        """Raises what ended a gateway that nobody stopped."""
+        """Raises the error of a gateway that ended without being stopped."""
         for gateway, task in self._tasks.items():
             if task.done() and not gateway._stopping.is_set():
                 task.result()
@@ -154,7 +154,7 @@
 
 
 def run(test):
-    """Decorates a coroutine test that takes a started system."""
+    """Decorates a coroutine test that gets a started system."""
 
     @functools.wraps(test)
     def wrapper():
@@ -170,6 +170,6 @@
         with asyncio.Runner(loop_factory=clock.Loop) as runner:
             runner.run(body())
 
-    # pytest must not look for fixtures in the wrapped signature.
+    # Otherwise pytest takes the parameter of the wrapped test for a fixture.
     del wrapper.__wrapped__
     return wrapper
--- a/tests/gateway/test_endpoint_notices.py
+++ b/tests/gateway/test_endpoint_notices.py
@@ -1,18 +1,10 @@
-"""What engines say of themselves in answers: that they leave, or want rest.
+"""Notices in engines' answers: that they are leaving, or ask for a back-off.
 
-An engine said in its answers that it leaves while the store, which did not
-answer for 12 s, still listed it as ready. Requests went on to it for longer
-than five seconds, at two instances. Another one turned requests away, asked for
-3 s of rest each time and got the next ones at once:
-
-    7.9   an answer of i-abeaa45833 that says so is passed on
-    11.3  chosen endpoint=i-abeaa45833
-    8.08  endpoint_refused endpoint=i-aa1d28f16a status=503 (wants 3 s of rest)
-    8.27  chosen endpoint=i-aa1d28f16a candidates=4
-    9.64  chosen endpoint=i-aa1d28f16a candidates=4
-
-The word of leaving was read nowhere but in the list, and the time to rest was
-read and dropped.
+Guards against two faults. Leaving was read from the list only: while the store
+didn't answer for 12 s and still listed an engine as ready, two instances sent
+it requests for more than 5 s after its answers said that it leaves. And the
+back-off in refusals was parsed and ignored: an engine that asked for 3 s each
+time was chosen again after 0.2 s.
 """
 
 import asyncio
@@ -28,7 +20,7 @@
 
 
 def make_backing_off(seconds):
-    """Returns a script that turns requests away and asks for rest."""
+    """Returns a script that refuses requests and asks for a back-off."""
 
     async def ask_for_backoff(engine, request, line):
         headers = {"Wayslip-Not-Executed": "1", "Retry-After": str(seconds)}
@@ -151,7 +143,7 @@
 
     refusing = await system.add("e1", "plain", script=ask_for_less_each_time)
     tracked = system.gateway.view.tracked["e1"]
-    # Two that were under way together.
+    # Two requests in flight at the same time.
     await asyncio.gather(system.ask("/get/a", "r1"), system.ask("/get/a", "r2"))
     answers = await ask_many(system)
     assert {a.status for a in answers} == {503}
@@ -161,7 +153,7 @@
 
 @harness.run
 async def test_instance_without_known_peers_notifies_the_lease_holder(system):
-    # Whoever had just started told nobody that an engine leaves.
+    # Otherwise an instance that has just started notifies no other instance.
     await system.add("e1", "plain", script=announce_leaving)
     others = [await system.join(name) for name in ("g2", "g3")]
     for other in others:
--- a/tests/gateway/test_engine_limits.py
+++ b/tests/gateway/test_engine_limits.py
@@ -1,7 +1,8 @@
-"""Limits that engines name in answers, over all instances together.
+"""Rate limits that engines name in answers, for all instances together.
 
-An engine named a limit of 1 request a second and got 14 in 4 s from instances
-that had passed on such an answer; 11 are allowed. The word was read nowhere.
+Guards against instances that forward such an answer without applying its limit:
+an engine with a limit of 1 request per second then got 14 requests in 4 s,
+where 11 are allowed.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 
 
 def count_max_in_window(times, since=0.0):
-    """Returns the most that came within some window."""
+    """Returns the maximum number of requests in any window."""
     counted = [at for at in times if at >= since]
     return max(
         (
@@ -46,7 +47,7 @@
 
 
 async def ask_all(system, gateways, seconds, gap=0.04, path="/get/a"):
-    """Asks all instances in turn for so long; returns the answers."""
+    """Sends requests to all instances in turn; returns the answers."""
     tasks = []
     end = time.monotonic() + seconds
     while time.monotonic() < end:
@@ -96,7 +97,7 @@
 
 @harness.run
 async def test_refused_requests_get_different_retry_times(system):
-    # All would come back for one place in the same moment.
+    # Otherwise all clients would retry for one permit at the same time.
     await add_limited(system, limit=0.5)
     await system.until(lambda: system.gateway._placement.instances == 1)
     await system.ask("/get/a")
@@ -195,7 +196,7 @@
     await test_placement.ask(system, "m1", "r0")
     began = time.monotonic() + 0.5
     for number in range(60):
-        # More adapters than places, so that each makes another one go.
+        # More adapters than adapter slots, so that each load evicts one.
         model = f"m1/a{number % 4 + 1}"
         await test_placement.ask(
             system, model, f"r{number}", at=gateways[number % 3]
--- a/tests/gateway/test_harness.py
+++ b/tests/gateway/test_harness.py
@@ -1,4 +1,4 @@
-"""The harness tells why a gateway did not start."""
+"""Tests of the harness: errors of a gateway that did not start, ports."""
 
 import pytest
 
@@ -8,7 +8,8 @@
 
 @harness.run
 async def test_start_error_of_a_gateway_is_raised(system):
-    # A test waited 10 s for a gateway that had ended and told nothing.
+    # Without this a test waits 10 s for a gateway that has ended, and the error
+    # is lost.
     options = harness.make_options("g2", system.options.store)
     gateway = system._launch(
         harness.replace_peers(options, system.options.peers)
--- a/tests/gateway/test_organisations.py
+++ b/tests/gateway/test_organisations.py
@@ -1,4 +1,4 @@
-"""Keys and quotas through a whole gateway."""
+"""Tests of API keys and quotas through a whole gateway."""
 
 import asyncio
 import dataclasses
@@ -95,7 +95,7 @@
 
 @harness.run
 async def test_keys_expire_without_confirmation(system):
-    # With a bound of 1.6 s keys are relied on for 0.5 s without a word.
+    # With a bound of 1.6 s keys stay valid for 0.5 s without a confirmation.
     bounds = dataclasses.replace(system.options.bounds, revocation=1.6)
     await begin(system, organisation("shop"), once={"public": True})
     gateway = await system.join("g2", bounds)
@@ -161,7 +161,7 @@
             assert float(answer.headers["retry-after"]) > 0
     assert set(statuses) == {200, 429}
     assert statuses[0] == 200
-    # 200 units each, and less than half a second passes.
+    # Each request uses 200 units, and the loop takes less than half a second.
     assert len(engine.received) <= 10
     answer = await system.ask("/get/a", Wayslip_Key=KEYS["bank"])
     assert answer.status == 200
@@ -180,5 +180,5 @@
         answer = await system.ask(
             "/get/a", f"r{number}", Wayslip_Key=KEYS["shop"]
         )
-        # There is no endpoint; the quota must not be what refuses.
+        # Refused for lack of an endpoint (503), not by the quota (429).
         assert answer.status == 503
--- a/tests/gateway/test_requests.py
+++ b/tests/gateway/test_requests.py
@@ -47,7 +47,7 @@
 
 
 async def hang(engine, request, line):
-    # The reader sees the end of the connection as soon as we are left.
+    # The read returns as soon as the gateway closes the connection.
     await line.reader.read(1)
     raise ConnectionResetError
 
@@ -93,7 +93,7 @@
     first = await system.add("e1", "plain", script=reset)
     second = await system.add("e2", "plain", script=reset)
     answer = await system.ask("/once/a", method="POST", body=b"x")
-    # It may have run, so neither a promise nor a second send is right.
+    # It may have run, so it is neither retried nor reported as not run.
     assert answer.status == 502
     assert len(first.received) + len(second.received) == 1
 
@@ -102,8 +102,8 @@
 async def test_refused_request_is_retried_at_another_endpoint(system):
     await system.add("e1", "plain", script=refuse)
     await system.add("e2", "plain")
-    # Until the holder tells how many instances share the budget of repeats,
-    # an instance takes a part that three repeats use up.
+    # Until the lease holder announces how many instances share the retry
+    # budget, an instance assumes a share that three retries use up.
     await system.until(lambda: system.gateway._placement.instances == 1)
     for number in range(4):
         answer = await system.ask(
@@ -320,13 +320,14 @@
 async def test_request_that_would_be_late_is_refused_at_once(system):
     engine = await system.add("e1", "models", ["m1"], stream_whole)
     tracked = system.gateway.view.tracked["e1"]
-    # The route's target is 0.8 s, its priority 1; more urgent prompts wait.
+    # The route's latency target is 0.8 s and its priority 1. Prompts of a
+    # higher priority are waiting.
     tracked.unread = backlog.at(0, 3.0)
     answer = await ask_model(system, "r1")
     assert answer.status == 503
     assert 2.0 < float(answer.headers["retry-after"]) < 3.0
     assert not engine.received
-    # What waits at a lower priority does not count.
+    # Prompts of a lower priority don't delay it.
     tracked.unread = backlog.at(3, 3.0)
     assert (await ask_model(system, "r2")).status == 200
 
--- a/tests/gateway/test_suspended.py
+++ b/tests/gateway/test_suspended.py
@@ -1,11 +1,10 @@
-"""A machine that was suspended for seconds, and goes on as if it had not been.
-
-The steady clock of a process stands still meanwhile, and a bounded time that is
-measured on it seems not to be over. A holder of the lease would go on ordering
-beside its successor, a key that was taken away would go on to let callers in,
-and connections that their engine has closed would be used. Found by reading:
-some 190 places took the steady clock, none the one that runs on while the
-machine is suspended. These tests move that one alone.
+"""Tests of time limits on a machine that was suspended for some seconds.
+
+CLOCK_MONOTONIC stands still during a suspension, so that a time limit measured
+on it outlives its bound. A lease holder would then send orders beside its
+successor, a revoked key would still be accepted, and connections that an engine
+has closed would be reused. These tests advance CLOCK_BOOTTIME alone, which
+counts the time suspended.
 """
 
 import asyncio
@@ -33,7 +32,7 @@
 
 
 def suspend(seconds):
-    """Returns what lets the machine have been suspended for so long."""
+    """Returns a patch under which the machine was suspended for some time."""
 
     def read(clock):
         passed = seconds if clock == time.CLOCK_BOOTTIME else 0.0
@@ -122,7 +121,7 @@
         limiter.admit(organisation, 10.0)
     assert limiter.admit(organisation, 10.0) is not None
     with suspend(20.0):
-        # Its time has gone on, so that it has a part again.
+        # The suspended time counts, so that the share has refilled.
         assert limiter.admit(organisation, 1.0) is None
 
 
