--- a/src/wayslip/gateway/requests.py
+++ b/src/wayslip/gateway/requests.py
@@ -29,7 +29,7 @@
 from wayslip.http1 import server
 
 _LOG = logging.getLogger(__name__)
-# Unreachable endpoints that a request tries before it is refused.
+# A request that met more unreachable endpoints than this is not retried.
 _MAX_UNREACHABLE = 3
 # Retry-After while it is not known whether the configuration is current.
 _UNKNOWN_RETRY_AFTER_SECONDS = 1.0
