--- a/src/wayslip/gateway/dialect.py
+++ b/src/wayslip/gateway/dialect.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Part:
+class PromptPart:
     """A part of a prompt that requests may share, and its length in tokens."""
 
     id: str
@@ -47,7 +47,7 @@
     adapter: str = ""
     prompt_tokens: int = 0
     output_tokens: int = 0
-    parts: tuple[Part, ...] = ()
+    parts: tuple[PromptPart, ...] = ()
     last_event_id: str = ""
     key: bytes | None = None
 
--- a/src/wayslip/gateway/prefixes.py
+++ b/src/wayslip/gateway/prefixes.py
@@ -20,7 +20,7 @@
         self._chains: dict[str, collections.OrderedDict[str, None]] = {}
 
     def count_cached(
-        self, engine: str, item: str, parts: Sequence[dialect.Part]
+        self, engine: str, item: str, parts: Sequence[dialect.PromptPart]
     ) -> int:
         """Returns how many tokens of a prompt's start an engine has read."""
         known = self._chains.get(engine)
@@ -36,7 +36,7 @@
         return cached
 
     def note(
-        self, engine: str, item: str, parts: Sequence[dialect.Part]
+        self, engine: str, item: str, parts: Sequence[dialect.PromptPart]
     ) -> None:
         """Records that an engine reads a prompt."""
         known = self._chains.setdefault(engine, collections.OrderedDict())
--- a/src/wayslip/gateway/view.py
+++ b/src/wayslip/gateway/view.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass
-class Tracked:
+class TrackedEndpoint:
     """An endpoint and what this instance knows of it.
 
     Attributes:
@@ -71,7 +71,7 @@
         is_alone: Whether no other prompt was unread when it was sent.
     """
 
-    tracked: Tracked
+    tracked: TrackedEndpoint
     model: str
     unread: backlog.Backlog
     tokens: int
@@ -85,8 +85,8 @@
 
     def __init__(self, data_hall: str) -> None:
         self._data_hall = data_hall
-        self.tracked: dict[str, Tracked] = {}
-        self._by_service: dict[str, dict[str, Tracked]] = {}
+        self.tracked: dict[str, TrackedEndpoint] = {}
+        self._by_service: dict[str, dict[str, TrackedEndpoint]] = {}
         self.notices = endpoint_notices_module.EndpointNotices()
         self.prefixes = prefixes.PrefixTable()
         self.reading = reading.ReadingRates()
@@ -122,7 +122,7 @@
             )
             return
         if tracked is None:
-            tracked = Tracked(endpoint)
+            tracked = TrackedEndpoint(endpoint)
             self.tracked[endpoint.name] = tracked
             self._log("endpoint_found", endpoint)
         elif endpoint.is_leaving and not tracked.endpoint.is_leaving:
@@ -189,7 +189,7 @@
             models=",".join(sorted(endpoint.models)),
         )
 
-    def of_service(self, service: str) -> Iterable[Tracked]:
+    def of_service(self, service: str) -> Iterable[TrackedEndpoint]:
         """Returns the endpoints of a service."""
         return self._by_service.get(service, {}).values()
 
@@ -324,7 +324,7 @@
 
     def _make_candidate(
         self,
-        tracked: Tracked,
+        tracked: TrackedEndpoint,
         traits: dialect.Traits,
         kv_tokens: int,
         base_rate: float,
@@ -429,7 +429,7 @@
         return {name: dataclasses.asdict(t) for name, t in self.tracked.items()}
 
 
-def _is_unresponsive(tracked: Tracked, now: float) -> bool:
+def _is_unresponsive(tracked: TrackedEndpoint, now: float) -> bool:
     """Whether requests are in flight and no byte arrived for too long."""
     if not tracked.in_flight:
         return False
--- a/src/wayslip/platform/dialect.py
+++ b/src/wayslip/platform/dialect.py
@@ -194,12 +194,12 @@
     return number if math.isfinite(number) and number >= 0 else None
 
 
-def _read_parts(text: bytes) -> tuple[dialect.Part, ...]:
+def _read_parts(text: bytes) -> tuple[dialect.PromptPart, ...]:
     parts = []
     for item in text.decode("latin-1").split(","):
         part_id, _, tokens = item.strip().partition(":")
         if part_id and tokens.isdecimal():
-            parts.append(dialect.Part(part_id, int(tokens)))
+            parts.append(dialect.PromptPart(part_id, int(tokens)))
     return tuple(parts)
 
 
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -42,7 +42,10 @@
     assert traits.deadline == 2.5
     assert (traits.model, traits.adapter) == ("m1", "a2")
     assert (traits.prompt_tokens, traits.output_tokens) == (1460, 80)
-    assert traits.parts == (dialect.Part("5c", 800), dialect.Part("91", 410))
+    assert traits.parts == (
+        dialect.PromptPart("5c", 800),
+        dialect.PromptPart("91", 410),
+    )
     assert traits.last_event_id == "4"
 
 
