--- a/src/wayslip/gateway/endpoint_notices.py
+++ b/src/wayslip/gateway/endpoint_notices.py
@@ -2,8 +2,8 @@
 
 A notice has its own source and age, independent of the endpoint's entry in the
 platform's list, which may be seconds old or written before the answer. It
-belongs to one incarnation of an endpoint and is dropped only with a later one;
-an entry that lapses and reappears doesn't clear it.
+holds for one incarnation of an endpoint: a later incarnation has none, while an
+entry that lapses and reappears doesn't clear it.
 """
 
 import dataclasses
