--- a/src/wayslip/gateway/attempts.py
+++ b/src/wayslip/gateway/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: send it, and pass the endpoint's answer on."""
+"""Attempts: sends a request to an endpoint and forwards the answer."""
 
 from collections.abc import Callable
 import logging
@@ -21,12 +21,12 @@
 from wayslip.http1 import pool as pool_module
 
 _LOG = logging.getLogger(__name__)
-# Connecting inside a region takes 2 ms; a dropped packet is sent again after
-# a few hundred. Beyond this the endpoint is taken as dark, seconds.
-CONNECT_SECONDS = 0.4
-# An answer up to this size is read whole before it is passed on, so that one
-# that breaks off can be asked for again, bytes.
-_WHOLE_BYTES = 256 * 1024
+# Connecting inside a region takes 2 ms, and a lost packet is retransmitted
+# after a few hundred. After this time the endpoint counts as unreachable.
+CONNECT_TIMEOUT_SECONDS = 0.4
+# Answers up to this size are buffered before they are forwarded, so that a
+# request whose answer breaks off can be retried.
+_MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class Attempts:
@@ -36,39 +36,40 @@
         self,
         dialect: dialect_module.Dialect,
         view: view_module.EndpointView,
-        endings: jobs.Endings,
+        responder: jobs.Responder,
         metrics: metrics_module.Metrics,
         quarantine: quarantine_module.Quarantine,
         report_leaving: Callable[[fleet.Endpoint], None],
         permit_broker: permit_broker_module.PermitBroker,
     ) -> None:
-        """Initializes without any connection.
+        """Initializes without open connections.
 
         Args:
-            dialect: Reads answers and writes headers.
-            view: Of the endpoints.
-            endings: End requests.
-            metrics: Where outcomes are counted.
-            quarantine: Knows requests that end endpoints.
-            report_leaving: Is given an endpoint that says it takes no new work.
-            permit_broker: Is told the limits that answers name.
+            dialect: Parses answers and writes headers.
+            view: What this instance knows of the endpoints.
+            responder: Answers requests and logs outcomes.
+            metrics: Records latencies.
+            quarantine: Tracks requests that crash endpoints.
+            report_leaving: Called with an endpoint whose answer says that it
+                takes no new work.
+            permit_broker: Records the rate limits that answers name.
         """
         self._permit_broker = permit_broker
         self._report_leaving = report_leaving
         self._quarantine = quarantine
         self._dialect = dialect
         self._view = view
-        self._endings = endings
+        self._responder = responder
         self._metrics = metrics
-        self.pool = pool_module.Pool(CONNECT_SECONDS)
+        self.pool = pool_module.Pool(CONNECT_TIMEOUT_SECONDS)
 
     async def make(
         self, job: jobs.Job, choice: selection.Choice
     ) -> retry.Failure | None:
-        """Sends a request to one endpoint; returns None once answered."""
+        """Sends a request to an endpoint; returns None once it is answered."""
         job.endpoint = choice.name
         tracked = self._view.tracked[choice.name]
-        use = self._view.begin(choice.name, job.traits, job.rank)
+        active = self._view.begin(choice.name, job.traits, job.rank)
         depth = self._find_depth(job)
         connection = self.pool.take(choice.name)
         is_reused = connection is not None
@@ -76,12 +77,12 @@
             if connection is None:
                 address = addresses.split_address(tracked.endpoint.address)
                 connection = await self.pool.open(address)
-            return await self._exchange(job, use, connection, is_reused)
+            return await self._exchange(job, active, connection, is_reused)
         except errors.NotSentError:
-            self._view.note_miss(use)
+            self._view.note_failed_attempt(active)
             return retry.Failure.NOT_SENT
         except errors.EndpointError as e:
-            self._view.note_miss(use)
+            self._view.note_failed_attempt(active)
             logs.event(
                 _LOG,
                 "attempt_unclear",
@@ -91,32 +92,34 @@
                 reused=is_reused,
                 reason=e.reason,
             )
-            job.breaks += 1
+            job.broken_attempts += 1
             self._quarantine.note_broken_attempt(
                 tracked.endpoint, job.content, depth, self.pool.open
             )
             return retry.Failure.UNCLEAR
         finally:
-            self._view.end(use)
+            self._view.end(active)
             if connection is not None and not connection.is_kept:
                 connection.close()
 
     def _find_depth(self, job: jobs.Job) -> int:
-        """Returns how deep a request is in suspicion as it is sent."""
+        """Returns the request's suspicion depth at the time it is sent."""
         if not self._quarantine:
-            return job.breaks
-        return max(self._quarantine.find_depth(job.content), job.breaks)
+            return job.broken_attempts
+        return max(
+            self._quarantine.find_depth(job.content), job.broken_attempts
+        )
 
     async def _exchange(
         self,
         job: jobs.Job,
-        use: view_module.Use,
+        active: view_module.ActiveRequest,
         connection: client.Connection,
         is_reused: bool,
     ) -> retry.Failure | None:
         traits = job.traits
-        endpoint = use.tracked.endpoint.name
-        order = dialect_module.Order(
+        endpoint = active.tracked.endpoint.name
+        parameters = dialect_module.SendParameters(
             endpoint=endpoint,
             seconds_left=job.deadline - clock.now(),
             priority=job.rank,
@@ -128,21 +131,21 @@
         job.is_sent = True
         sent_at = clock.now()
         connection.send(
-            self._dialect.format_request(job.exchange.request, order),
+            self._dialect.format_request(job.exchange.request, parameters),
             self._dialect.match_answer(traits.request_id, is_reused),
         )
         head = await connection.read_head()
-        self._view.hear(use)
+        self._view.note_bytes(active)
         answer = self._dialect.read_answer(head)
         if answer.is_leaving:
-            self._report_leaving(use.tracked.endpoint)
+            self._report_leaving(active.tracked.endpoint)
         if answer.limit is not None or answer.is_genuine:
-            # What is not the endpoint's own tells of no end.
+            # An answer that is not the endpoint's own doesn't lift a limit.
             self._permit_broker.note_answer(
-                use.tracked.endpoint, answer.limit, sent_at
+                active.tracked.endpoint, answer.limit, sent_at
             )
         if answer.is_refusal:
-            await self._read_rest(connection)
+            await self._read_body(connection)
             logs.event(
                 _LOG,
                 "endpoint_refused",
@@ -150,45 +153,51 @@
                 endpoint=endpoint,
                 status=head.status,
                 load=answer.load,
-                rest="" if answer.rest is None else f"{answer.rest:.2f}",
+                rest="" if answer.backoff is None else f"{answer.backoff:.2f}",
             )
-            self._note_refusal(job, use, answer)
-            self._keep(endpoint, connection, head)
+            self._note_refusal(job, active, answer)
+            self._return_to_pool(endpoint, connection, head)
             return retry.Failure.REFUSED
         if not answer.is_genuine:
             raise errors.EndpointUnclearError(
-                f"{endpoint} sent an answer that is not its own",
+                f"{endpoint} sent an answer that is not marked as its own",
                 "see the endpoint's log",
             )
         if answer.is_stream and head.status < 300:
-            failure = await self._relay(job, use, connection, head)
+            failure = await self._forward_stream(job, active, connection, head)
         else:
-            failure = await self._pass_on(job, use, connection, head)
+            failure = await self._forward(job, active, connection, head)
         if failure is None:
-            self._keep(endpoint, connection, head)
+            self._return_to_pool(endpoint, connection, head)
         self._quarantine.note_answer(job.content)
         return failure
 
     def _note_refusal(
-        self, job: jobs.Job, use: view_module.Use, answer: dialect_module.Answer
+        self,
+        job: jobs.Job,
+        active: view_module.ActiveRequest,
+        answer: dialect_module.Answer,
     ) -> None:
         traits = job.traits
-        if answer.rest is not None:
-            self._view.note_backoff(use, answer.rest)
+        if answer.backoff is not None:
+            self._view.note_backoff(active, answer.backoff)
         if answer.is_misdirected and traits.model:
-            self._view.tell(
-                use.tracked.endpoint.name, traits.model, traits.adapter, False
+            self._view.note_item(
+                active.tracked.endpoint.name,
+                traits.model,
+                traits.adapter,
+                False,
             )
         elif answer.is_misdirected:
-            self._view.note_miss(use)
+            self._view.note_failed_attempt(active)
 
-    def _keep(
+    def _return_to_pool(
         self, endpoint: str, connection: client.Connection, head: messages.Head
     ) -> None:
         connection.is_kept = True
         self.pool.give_back(endpoint, connection, head.header(b"keep-alive"))
 
-    async def _read_rest(self, connection: client.Connection) -> bytes:
+    async def _read_body(self, connection: client.Connection) -> bytes:
         parts = []
         while part := await connection.read():
             parts.append(part)
@@ -196,36 +205,36 @@
 
     # Answers
 
-    async def _pass_on(
+    async def _forward(
         self,
         job: jobs.Job,
-        use: view_module.Use,
+        active: view_module.ActiveRequest,
         connection: client.Connection,
         head: messages.Head,
     ) -> retry.Failure | None:
-        """Passes an answer on, whole where it is small."""
+        """Forwards an answer, buffering it if it is small."""
         headers = messages.find_end_to_end(head.headers)
         parts: list[bytes] = []
         size = 0
         while part := await connection.read():
             parts.append(part)
             size += len(part)
-            if size > _WHOLE_BYTES:
-                await self._pass_on_large(job, connection, head, parts)
-                self._view.note_answer(use, False)
+            if size > _MAX_BUFFERED_BYTES:
+                await self._forward_large(job, connection, head, parts)
+                self._view.note_answer(active, False)
                 return None
         body = b"".join(parts)
         is_failure = head.status >= 500
-        self._view.note_answer(use, is_failure)
+        self._view.note_answer(active, is_failure)
         if is_failure and job.route.may_repeat:
             job.fallback = (head, body)
             return retry.Failure.UNCLEAR
         job.relayed = True
-        self._endings.end_job(job, "answered", head.status)
+        self._responder.record_job_outcome(job, "answered", head.status)
         job.exchange.answer(head.status, headers, body)
         return None
 
-    async def _pass_on_large(
+    async def _forward_large(
         self,
         job: jobs.Job,
         connection: client.Connection,
@@ -238,33 +247,33 @@
         await job.exchange.send(b"".join(parts))
         while part := await connection.read():
             await job.exchange.send(part)
-        self._endings.end_job(job, "answered", head.status)
+        self._responder.record_job_outcome(job, "answered", head.status)
         job.exchange.finish()
 
-    async def _relay(
+    async def _forward_stream(
         self,
         job: jobs.Job,
-        use: view_module.Use,
+        active: view_module.ActiveRequest,
         connection: client.Connection,
         head: messages.Head,
     ) -> retry.Failure | None:
-        """Passes a stream on, event by event.
+        """Forwards a stream event by event.
 
-        The head is held back until the first event, so that a stream that
-        breaks off before can still be answered or sent elsewhere.
+        The head is sent with the first event, so that a stream that breaks off
+        earlier can still be retried or answered with an error.
         """
-        job.splitter.drop_rest()
+        job.splitter.drop_remainder()
         while part := await connection.read():
-            self._view.hear(use)
+            self._view.note_bytes(active)
             whole = job.splitter.feed(part)
             if not whole:
                 continue
             self._start_stream(job, head)
             await job.exchange.send(whole)
-        self._view.note_answer(use, False)
+        self._view.note_answer(active, False)
         self._start_stream(job, head)
-        await job.exchange.send(job.splitter.rest)
-        self._endings.end_job(job, "answered", head.status)
+        await job.exchange.send(job.splitter.remainder)
+        self._responder.record_job_outcome(job, "answered", head.status)
         job.exchange.finish()
         return None
 
--- a/src/wayslip/gateway/events.py
+++ b/src/wayslip/gateway/events.py
@@ -1,35 +1,35 @@
-"""Splits a stream of server-sent events at the ends of its events."""
+"""Splits a stream of server-sent events at event boundaries."""
 
 _SEPARATORS = (b"\n\n", b"\r\n\r\n")
 
 
 class EventSplitter:
-    """Hands out whole events and remembers the last id.
+    """Returns whole events and keeps the last event id.
 
     Attributes:
-        last_id: Id of the last whole event handed out.
+        last_id: Id of the last whole event returned.
     """
 
     def __init__(self, last_id: str = "") -> None:
         self.last_id = last_id
-        self._rest = b""
+        self._remainder = b""
 
     def feed(self, data: bytes) -> bytes:
         """Returns all bytes up to the end of the last whole event."""
-        self._rest += data
-        end = _find_end(self._rest)
-        whole, self._rest = self._rest[:end], self._rest[end:]
+        self._remainder += data
+        end = _find_end(self._remainder)
+        whole, self._remainder = self._remainder[:end], self._remainder[end:]
         self._note_ids(whole)
         return whole
 
-    def drop_rest(self) -> None:
-        """Drops a part of an event whose rest will not come."""
-        self._rest = b""
+    def drop_remainder(self) -> None:
+        """Drops an incomplete event when the stream is resumed elsewhere."""
+        self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """Bytes after the last whole event."""
-        return self._rest
+        return self._remainder
 
     def _note_ids(self, whole: bytes) -> None:
         for line in reversed(whole.splitlines()):
--- a/src/wayslip/gateway/lag.py
+++ b/src/wayslip/gateway/lag.py
@@ -1,8 +1,8 @@
-"""How late the event loop is, and how long the machine was suspended.
+"""Measures the event loop's lag and suspensions of the machine.
 
-Everything that an instance does waits for its one loop: answers, renewals of
-the lease and statements alike. A plan that takes 40 ms, or a processor that is
-busy elsewhere, shows here first.
+An instance runs on one event loop: answers, lease renewals and announcements
+wait for it. The lag shows a plan that takes 40 ms, or a processor that is busy
+with other processes.
 """
 
 import asyncio
@@ -13,28 +13,28 @@
 from wayslip import metrics as metrics_module
 
 _LOG = logging.getLogger(__name__)
-# Between looks, seconds: a look costs 0.02 ms.
-_LOOK_SECONDS = 0.1
-# Less than this between two looks is what reading two clocks takes, seconds.
-_SUSPENDED_SECONDS = 0.05
+# Between samples; a sample takes 0.02 ms.
+_SAMPLE_INTERVAL_SECONDS = 0.1
+# A smaller difference between two samples is the time to read two clocks.
+_MIN_SUSPENSION_SECONDS = 0.05
 NAME = "loop_lag"
 
 
 async def observe(metrics: metrics_module.Metrics) -> None:
-    """Measures until it is cancelled."""
+    """Records lag and suspensions until cancelled."""
     latency = metrics.latency(NAME)
-    known = clock.find_suspended()
+    previous = clock.find_suspended()
     while True:
-        due = clock.now() + _LOOK_SECONDS
-        await asyncio.sleep(_LOOK_SECONDS)
+        due = clock.now() + _SAMPLE_INTERVAL_SECONDS
+        await asyncio.sleep(_SAMPLE_INTERVAL_SECONDS)
         latency.observe(max(clock.now() - due, 0.0))
         suspended = clock.find_suspended()
-        if suspended - known > _SUSPENDED_SECONDS:
+        if suspended - previous > _MIN_SUSPENSION_SECONDS:
             logs.event(
                 _LOG,
                 "machine_was_suspended",
                 logging.WARNING,
-                seconds=f"{suspended - known:.3f}",
+                seconds=f"{suspended - previous:.3f}",
             )
             metrics.count("suspensions")
-        known = suspended
+        previous = suspended
--- a/src/wayslip/gateway/permit_broker.py
+++ b/src/wayslip/gateway/permit_broker.py
@@ -1,8 +1,9 @@
-"""Places at endpoints that name a limit for all instances together.
+"""Permits for endpoints that name a rate limit for all instances together.
 
-Whoever is about to send a request to one asks the lease's holder for a place
-and gets it at once, a little later, or not. The holder asks its own accounts,
-for its reports and orders too. See `decisions.places`.
+Before an instance sends a request to such an endpoint it asks the lease holder
+for a permit, which is granted at once, with a delay, or not at all. The lease
+holder takes permits from its own buckets, for its reports and orders too. See
+`decisions.permits`.
 """
 
 import asyncio
@@ -22,56 +23,56 @@
 from wayslip.gateway import peer_broadcast as peer_broadcast_module
 
 _LOG = logging.getLogger(__name__)
-# The holder's answer is waited for this long, seconds: a trip there and back,
-# and a plan that it is at work on.
-_ANSWER_SECONDS = 0.1
-# An endpoint that is left to other instances is looked at again after this,
-# seconds.
-_LEFT_SECONDS = 1.0
-# Accounts that are kept; the oldest are forgotten.
-_ACCOUNTS_MOST = 2000
+# Time-out of the lease holder's response: a round trip, and a plan that it may
+# be computing.
+_RESPONSE_TIMEOUT_SECONDS = 0.1
+# Without a lease holder, the pause before an instance considers a limited
+# endpoint again that is left to other instances.
+_EXCLUDED_RETRY_SECONDS = 1.0
+# Buckets that are kept; the least recently used are dropped.
+_MAX_BUCKETS = 2000
 _DRAW_BYTES = 4
 
 
-class _Accounts:
-    """Accounts of endpoints, by their starts."""
+class _Buckets:
+    """Permit buckets by incarnation of an endpoint."""
 
     def __init__(self, burst: float) -> None:
-        """Initializes without any.
+        """Initializes without buckets.
 
         Args:
-            burst: Places that each saves up at most.
+            burst: Maximum number of permits that a bucket accumulates.
         """
         self._burst = burst
-        self._accounts: dict[fleet.Incarnation, permits.PermitBucket] = {}
+        self._buckets: dict[fleet.Incarnation, permits.PermitBucket] = {}
 
     def take(
         self, start: fleet.Incarnation, rate: float, max_wait: float
     ) -> permits.Verdict:
-        """Takes a place of an endpoint under a limit."""
+        """Takes a permit from an endpoint's bucket."""
         now = clock.now()
-        account = self._accounts.pop(start, None)
-        if account is None:
-            account = permits.PermitBucket.begin(rate, now, self._burst)
-        elif account.rate != rate:
-            account = account.change_rate(rate, now)
-        account, verdict = account.take(max_wait, now)
-        self._accounts[start] = account
-        if len(self._accounts) > _ACCOUNTS_MOST:
-            del self._accounts[next(iter(self._accounts))]
+        bucket = self._buckets.pop(start, None)
+        if bucket is None:
+            bucket = permits.PermitBucket.begin(rate, now, self._burst)
+        elif bucket.rate != rate:
+            bucket = bucket.change_rate(rate, now)
+        bucket, verdict = bucket.take(max_wait, now)
+        self._buckets[start] = bucket
+        if len(self._buckets) > _MAX_BUCKETS:
+            del self._buckets[next(iter(self._buckets))]
         return verdict
 
-    def begin_anew(self, start: fleet.Incarnation) -> None:
-        """Forgets what an endpoint's account has saved up."""
-        self._accounts.pop(start, None)
+    def discard(self, start: fleet.Incarnation) -> None:
+        """Drops an endpoint's bucket with the permits accumulated there."""
+        self._buckets.pop(start, None)
 
     def clear(self) -> None:
-        """Forgets all."""
-        self._accounts.clear()
+        """Drops all buckets."""
+        self._buckets.clear()
 
 
 class PermitBroker:
-    """Asks for places, and gives them out. Used on the event loop only."""
+    """Requests and grants permits. Used on the event loop only."""
 
     def __init__(
         self,
@@ -80,35 +81,36 @@
         hub: hub_module.Hub,
         leadership: leadership_module.Leadership,
         peer_broadcast: peer_broadcast_module.PeerBroadcast,
-        hears_holder: Callable[[], bool],
+        has_holder_contact: Callable[[], bool],
         count_instances: Callable[[], int],
     ) -> None:
-        """Initializes without any limit.
+        """Initializes without known limits.
 
         Args:
-            name: Of this instance.
-            notices: What endpoints said of themselves.
+            name: Name of this instance.
+            notices: Notices of endpoints, with their limits.
             hub: Sends datagrams.
-            leadership: Knows the lease's holder.
-            peer_broadcast: Whom news concerns.
-            hears_holder: Whether the holder was heard a moment ago.
+            leadership: Knows the lease holder.
+            peer_broadcast: Announces limits to the other instances.
+            has_holder_contact: Returns whether the lease holder was heard from
+                recently.
             count_instances: Returns how many instances there are.
         """
         self._name = name
-        self._words = notices
+        self._notices = notices
         self._hub = hub
         self._leadership = leadership
         self._peer_broadcast = peer_broadcast
-        self._hears_holder = hears_holder
+        self._has_holder_contact = has_holder_contact
         self._count_instances = count_instances
-        self._given = _Accounts(permits.BURST)
-        self._calls = _Accounts(1.0)
-        # By ourselves, while no holder is heard.
-        self._own = _Accounts(1.0)
-        self._asked: dict[int, asyncio.Future[permits.Verdict]] = {}
-        self._number = 0
+        self._granted = _Buckets(permits.BURST)
+        self._calls = _Buckets(1.0)
+        # This instance's share of limits, without contact to a lease holder.
+        self._local = _Buckets(1.0)
+        self._pending: dict[int, asyncio.Future[permits.Verdict]] = {}
+        self._last_number = 0
 
-    # What endpoints say
+    # Limits that endpoints name
 
     def note_answer(
         self,
@@ -116,27 +118,27 @@
         limit: float | None,
         sent_at: float,
     ) -> None:
-        """Takes in the limit that an answer names, or that it names none.
+        """Records the limit that an answer names, or that it names none.
 
         Args:
-            endpoint: Whose answer it is.
-            limit: Requests a second, None for no limit.
-            sent_at: When its request was sent, steady seconds.
+            endpoint: The endpoint that answered.
+            limit: Requests per second, None for no limit.
+            sent_at: When the answer's request was sent, steady seconds.
         """
         start = endpoint.incarnation
-        if not self._words.note_limit(start, limit, sent_at):
+        if not self._notices.note_limit(start, limit, sent_at):
             return
         self._log(start, limit, self._name)
-        told = facts.Limited(start.endpoint, start.born, limit)
-        self._peer_broadcast.spread(told)
+        update = facts.Limited(start.endpoint, start.born, limit)
+        self._peer_broadcast.spread(update)
 
-    def apply_update(self, told: facts.Limited, source: str) -> None:
-        """Takes in what another instance heard."""
-        start = fleet.Incarnation(told.endpoint, told.born)
-        if not self._words.note_limit(start, told.limit, clock.now()):
+    def apply_update(self, update: facts.Limited, source: str) -> None:
+        """Records a limit that another instance announced."""
+        start = fleet.Incarnation(update.endpoint, update.born)
+        if not self._notices.note_limit(start, update.limit, clock.now()):
             return
-        self._log(start, told.limit, source)
-        self._peer_broadcast.pass_on(told)
+        self._log(start, update.limit, source)
+        self._peer_broadcast.pass_on(update)
 
     def _log(
         self, start: fleet.Incarnation, limit: float | None, source: str
@@ -150,22 +152,22 @@
             source=source,
         )
 
-    # Asking
+    # Requesting permits
 
     async def take(
         self, endpoint: fleet.Endpoint, max_wait: float, request_id: str
     ) -> permits.Verdict:
-        """Takes a place for one request.
+        """Takes a permit for one request.
 
         Args:
-            endpoint: Where it is to be sent.
-            max_wait: Seconds that it can wait before it is sent.
-            request_id: Of the request.
+            endpoint: The endpoint to send the request to.
+            max_wait: Seconds that the request can wait before it is sent.
+            request_id: Id of the request, for the log.
 
         Returns:
-            A verdict; a place that is granted is spent.
+            A verdict; a granted permit can't be returned.
         """
-        limit = self._words.find_limit(endpoint.incarnation)
+        limit = self._notices.find_limit(endpoint.incarnation)
         if limit is None:
             return permits.GRANTED
         verdict, source = await self._decide(
@@ -188,87 +190,89 @@
         self, start: fleet.Incarnation, limit: float, max_wait: float
     ) -> tuple[permits.Verdict, str]:
         if self._leadership.is_held:
-            return self._given.take(start, limit, max_wait), "own"
-        if self._hears_holder():
-            verdict = await self._ask(start, limit, max_wait)
+            return self._granted.take(start, limit, max_wait), "own"
+        if self._has_holder_contact():
+            verdict = await self._request_permit(start, limit, max_wait)
             if verdict is not None:
-                # Our part is saved up from when the holder falls silent.
-                self._own.begin_anew(start)
+                # The local share accumulates only without a lease holder.
+                self._local.discard(start)
                 return verdict, "holder"
-        return self._take_part(start, limit, max_wait), "part"
+        return self._take_from_share(start, limit, max_wait), "part"
 
-    async def _ask(
+    async def _request_permit(
         self, start: fleet.Incarnation, limit: float, max_wait: float
     ) -> permits.Verdict | None:
-        """Asks the holder; returns None if it does not answer."""
+        """Asks the lease holder; returns None if it doesn't answer."""
         holder = self._leadership.holder_address
         if holder is None:
             return None
-        self._number += 1
-        number = self._number
+        self._last_number += 1
+        number = self._last_number
         answer = asyncio.get_running_loop().create_future()
-        self._asked[number] = answer
-        ask = facts.PermitRequest(
+        self._pending[number] = answer
+        request = facts.PermitRequest(
             number, start.endpoint, start.born, limit, max_wait
         )
-        self._hub.send(ask, addresses.split_address(holder))
+        self._hub.send(request, addresses.split_address(holder))
         try:
-            async with asyncio.timeout(_ANSWER_SECONDS):
+            async with asyncio.timeout(_RESPONSE_TIMEOUT_SECONDS):
                 return await answer
         except TimeoutError:
             return None
         finally:
-            del self._asked[number]
+            del self._pending[number]
 
-    def _take_part(
+    def _take_from_share(
         self, start: fleet.Incarnation, limit: float, max_wait: float
     ) -> permits.Verdict:
-        """Takes a place of our own part of a limit."""
+        """Takes a permit from this instance's share of a limit."""
         draw = _draw(self._name, start)
-        part = permits.find_share(limit, self._count_instances(), draw)
-        if part is None:
-            return permits.Verdict(False, _LEFT_SECONDS)
-        return self._own.take(start, part, max_wait)
+        share = permits.find_share(limit, self._count_instances(), draw)
+        if share is None:
+            return permits.Verdict(False, _EXCLUDED_RETRY_SECONDS)
+        return self._local.take(start, share, max_wait)
 
-    # Giving
+    # Granting permits
 
     def answer(
-        self, ask: facts.PermitRequest, source: hub_module.Address
+        self, request: facts.PermitRequest, source: hub_module.Address
     ) -> None:
-        """Answers another instance, if we hold the lease."""
+        """Answers another instance, if this instance holds the lease."""
         if not self._leadership.is_held:
             return
-        start = fleet.Incarnation(ask.endpoint, ask.born)
-        known = self._words.find_limit(start)
-        limit = ask.limit if known is None else min(ask.limit, known)
-        verdict = self._given.take(start, limit, ask.max_wait)
-        told = facts.PermitResponse(
-            ask.number, verdict.is_granted, verdict.wait
+        start = fleet.Incarnation(request.endpoint, request.born)
+        known = self._notices.find_limit(start)
+        limit = request.limit if known is None else min(request.limit, known)
+        verdict = self._granted.take(start, limit, request.max_wait)
+        response = facts.PermitResponse(
+            request.number, verdict.is_granted, verdict.wait
         )
-        self._hub.send(told, source)
+        self._hub.send(response, source)
 
-    def take_answer(self, told: facts.PermitResponse) -> None:
-        """Takes in the holder's answer, unless it comes too late."""
-        answer = self._asked.get(told.number)
+    def apply_response(self, response: facts.PermitResponse) -> None:
+        """Applies the lease holder's response, unless it is too late."""
+        answer = self._pending.get(response.number)
         if answer is not None and not answer.done():
-            answer.set_result(permits.Verdict(told.is_granted, told.wait))
+            answer.set_result(
+                permits.Verdict(response.is_granted, response.wait)
+            )
 
     def begin_term(self) -> None:
-        """Begins to give places out, as a new holder."""
-        self._given.clear()
+        """Starts to grant permits as the new lease holder."""
+        self._granted.clear()
 
     def may_call(self, endpoint: fleet.Endpoint) -> bool:
-        """Whether the holder may send a report or an order now.
+        """Whether the lease holder may request a report or send an order now.
 
-        The place is spent then.
+        If so, this takes a permit.
         """
-        limit = self._words.find_limit(endpoint.incarnation)
+        limit = self._notices.find_limit(endpoint.incarnation)
         if limit is None:
             return True
         share = max(limit, permits.MIN_RATE) * permits.INTERNAL_CALLS_SHARE
         may_call = (
             self._calls.take(endpoint.incarnation, share, 0.0).is_granted
-            and self._given.take(endpoint.incarnation, limit, 0.0).is_granted
+            and self._granted.take(endpoint.incarnation, limit, 0.0).is_granted
         )
         if not may_call:
             logs.event(
--- a/src/wayslip/gateway/quota_accounts.py
+++ b/src/wayslip/gateway/quota_accounts.py
@@ -79,9 +79,9 @@
         self._members.clear()
         self._levels = {
             name: quota_module.Level(quota_level.level, now)
-            for name, quota_level in self._limiter.words.items()
+            for name, quota_level in self._limiter.levels.items()
         }
-        for name, quota_level in self._limiter.words.items():
+        for name, quota_level in self._limiter.levels.items():
             self._demand.set(name, quota_level.demand, now)
 
     def record_report(self, report: facts.Report) -> None:
@@ -137,7 +137,7 @@
         if quota is None:
             return 0.0
         burst = self._allowance.extend_burst(quota.rate, quota.burst)
-        if self._limiter.words:
+        if self._limiter.levels:
             return burst
         return min(quota.rate * (now - self._began_at), burst)
 
--- a/src/wayslip/gateway/view.py
+++ b/src/wayslip/gateway/view.py
@@ -1,8 +1,8 @@
-"""The endpoints as this instance sees them: the list, load and condition.
+"""The endpoints as this instance knows them: the list, load and condition.
 
-The list comes from the store. What the lease's holder tells of its orders
-goes before it for a while, because an entry in the store follows an order
-only with the engine's next heartbeat.
+The list comes from the store. Item updates from the lease holder take
+precedence for a while, because an engine's entry in the store reflects an order
+only after the engine's next heartbeat.
 """
 
 from collections.abc import Callable
@@ -22,26 +22,31 @@
 from wayslip.gateway import prefixes
 
 _LOG = logging.getLogger(__name__)
-# How long word of an order goes before the engine's entry, seconds: two
-# heartbeats and the list's lag.
-_WORD_SECONDS = 4.0
-# An endpoint with requests out and no byte from it for this long is not given
-# more, seconds: above the longest pause that a sheet allows between events.
-_SILENCE = 1.5
-# Less unread work than this at an endpoint does not disturb a sample, seconds.
-_ALONE_SECONDS = 0.01
+# How long an item update takes precedence over the engine's entry: two
+# heartbeats and the lag of the list.
+_ITEM_UPDATE_SECONDS = 4.0
+# An endpoint with requests in flight that sent no byte for this long counts as
+# unresponsive. It is longer than the longest pause between events that the
+# operators' documentation allows.
+_MAX_SILENCE_SECONDS = 1.5
+# Less unread work than this at an endpoint doesn't distort a sample of its
+# reading rate.
+_MAX_OTHER_UNREAD_SECONDS = 0.01
 
 
 @dataclasses.dataclass
-class Tracked:
-    """An endpoint with what this instance knows of it.
+class TrackedEndpoint:
+    """An endpoint and what this instance knows of it.
 
     Attributes:
-        in_flight: This instance's requests there.
-        unread: The prompts of those without a first byte.
-        tokens: Tokens that they may take of its memory.
-        others: Other instances' requests and unread prompts, as last told.
-        heard: When its last byte came.
+        in_flight: This instance's requests in flight there.
+        unread: The prompts of those that got no byte of an answer yet.
+        tokens: Tokens of the endpoint's memory that they may take.
+        others: Requests and unread prompts of other instances, as last
+            received.
+        waits_since: When `in_flight` last rose from 0, steady seconds.
+        heard: When the last byte of an answer arrived, steady seconds.
+        is_gone: Whether it was removed from the list.
     """
 
     endpoint: fleet.Endpoint
@@ -56,17 +61,17 @@
 
 
 @dataclasses.dataclass
-class Use:
-    """One request at an endpoint, from choice to end.
+class ActiveRequest:
+    """One request at an endpoint, from its choice to its end.
 
     Attributes:
-        unread: Its prompt, empty after its first byte.
-        tokens: Tokens that it may take of the endpoint's memory.
-        uncached: Tokens of its prompt that have to be read.
+        unread: Its prompt, empty after the first byte of the answer.
+        tokens: Tokens of the endpoint's memory that it may take.
+        uncached: Tokens of its prompt that are not in the endpoint's cache.
         is_alone: Whether no other prompt was unread when it was sent.
     """
 
-    tracked: Tracked
+    tracked: TrackedEndpoint
     model: str
     unread: backlog.Backlog
     tokens: int
@@ -80,32 +85,32 @@
 
     def __init__(self, data_hall: str) -> None:
         self._data_hall = data_hall
-        self.tracked: dict[str, Tracked] = {}
-        self._by_service: dict[str, dict[str, Tracked]] = {}
+        self.tracked: dict[str, TrackedEndpoint] = {}
+        self._by_service: dict[str, dict[str, TrackedEndpoint]] = {}
         self.notices = endpoint_notices_module.EndpointNotices()
         self.prefixes = prefixes.PrefixTable()
         self.reading = reading.ReadingRates()
-        # Word of orders: (endpoint, model, adapter) to (is held, until).
-        self._word: dict[tuple[str, str, str], tuple[bool, float]] = {}
+        # Item updates: (endpoint, model, adapter) to (is held, valid until).
+        self._item_updates: dict[tuple[str, str, str], tuple[bool, float]] = {}
 
     # The list
 
-    def take(self, endpoint: fleet.Endpoint) -> None:
-        """Takes in an endpoint's entry, unless a newer one is known."""
+    def apply_entry(self, endpoint: fleet.Endpoint) -> None:
+        """Applies an endpoint's entry, unless a newer one is known."""
         if endpoint.is_leaving:
-            # The list may come back from a copy that does not say so yet.
+            # Recorded here because a restored copy of the list may lack it.
             self.notices.note_leaving(endpoint.incarnation)
         elif self.notices.is_leaving(endpoint):
-            # Written before it said so, or by one that did not hear.
+            # The entry was written before the notice or without it.
             endpoint = dataclasses.replace(endpoint, is_leaving=True)
         tracked = self.tracked.get(endpoint.name)
         if tracked is not None and endpoint.succeeds(tracked.endpoint):
-            # Whatever ran there, was held or was told of it ended with it.
+            # All that is known of the earlier incarnation is obsolete.
             self.remove(endpoint.name)
             tracked = None
         if tracked is not None and endpoint.is_before(tracked.endpoint):
-            # It may be told late, or by an earlier holder of the lease. What
-            # it does not show, as that the endpoint is leaving, still holds.
+            # The entry arrived late or from an earlier lease holder. What it
+            # lacks, such as that the endpoint is leaving, still holds.
             logs.event(
                 _LOG,
                 "entry_is_old",
@@ -117,7 +122,7 @@
             )
             return
         if tracked is None:
-            tracked = Tracked(endpoint)
+            tracked = TrackedEndpoint(endpoint)
             self.tracked[endpoint.name] = tracked
             self._log("endpoint_found", endpoint)
         elif endpoint.is_leaving and not tracked.endpoint.is_leaving:
@@ -129,14 +134,14 @@
         )
 
     def note_leaving(self, start: fleet.Incarnation, source: str) -> bool:
-        """Takes in that an endpoint said it takes no new work.
+        """Records that an endpoint announced that it takes no new work.
 
         Args:
-            start: Of the endpoint.
-            source: Who heard it.
+            start: The endpoint's incarnation.
+            source: Which instance received the announcement.
 
         Returns:
-            Whether it was news.
+            Whether that was not known yet.
         """
         if not self.notices.note_leaving(start):
             return False
@@ -149,27 +154,29 @@
         )
         tracked = self.tracked.get(start.endpoint)
         if tracked is not None:
-            self.take(tracked.endpoint)
+            self.apply_entry(tracked.endpoint)
         return True
 
     def remove(self, name: str) -> None:
-        """Takes an endpoint out; requests there go on."""
+        """Removes an endpoint; its requests in flight continue."""
         tracked = self.tracked.pop(name, None)
         if tracked is None:
             return
         tracked.is_gone = True
         self._by_service.get(tracked.endpoint.service, {}).pop(name, None)
         self.prefixes.forget(name)
-        self._word = {k: w for k, w in self._word.items() if k[0] != name}
+        self._item_updates = {
+            k: w for k, w in self._item_updates.items() if k[0] != name
+        }
         self._log("endpoint_gone", tracked.endpoint)
 
     def replace_all(self, endpoints: Iterable[fleet.Endpoint]) -> None:
-        """Takes in a whole list."""
+        """Replaces the list of endpoints."""
         listed = {e.name: e for e in endpoints}
         for name in [n for n in self.tracked if n not in listed]:
             self.remove(name)
         for endpoint in listed.values():
-            self.take(endpoint)
+            self.apply_entry(endpoint)
 
     def _log(self, event: str, endpoint: fleet.Endpoint) -> None:
         logs.event(
@@ -182,17 +189,22 @@
             models=",".join(sorted(endpoint.models)),
         )
 
-    def of_service(self, service: str) -> Iterable[Tracked]:
+    def of_service(self, service: str) -> Iterable[TrackedEndpoint]:
         """Returns the endpoints of a service."""
         return self._by_service.get(service, {}).values()
 
     # What is loaded
 
-    def tell(self, name: str, model: str, adapter: str, is_held: bool) -> bool:
-        """Takes word of an order; returns whether it was news."""
+    def note_item(
+        self, name: str, model: str, adapter: str, is_held: bool
+    ) -> bool:
+        """Records an item update; returns whether it changes what is known."""
         now = clock.now()
-        known = self._word.get((name, model, adapter))
-        self._word[(name, model, adapter)] = (is_held, now + _WORD_SECONDS)
+        known = self._item_updates.get((name, model, adapter))
+        self._item_updates[(name, model, adapter)] = (
+            is_held,
+            now + _ITEM_UPDATE_SECONDS,
+        )
         return known is None or known[0] is not is_held or known[1] <= now
 
     def holds(self, endpoint: fleet.Endpoint, model: str, adapter: str) -> bool:
@@ -206,16 +218,16 @@
     def _holds_item(
         self, endpoint: fleet.Endpoint, model: str, adapter: str
     ) -> bool:
-        word = self._word.get((endpoint.name, model, adapter))
-        if word is not None:
-            is_held, until = word
+        update = self._item_updates.get((endpoint.name, model, adapter))
+        if update is not None:
+            is_held, until = update
             if clock.now() < until:
                 return is_held
-            del self._word[(endpoint.name, model, adapter)]
+            del self._item_updates[(endpoint.name, model, adapter)]
         return endpoint.holds(model, adapter)
 
     def holds_anywhere(self, service: str, model: str) -> bool:
-        """Whether an endpoint that stays can serve a model, adapters aside."""
+        """Whether an endpoint that isn't leaving holds a model."""
         return any(
             not t.endpoint.is_leaving and self.holds(t.endpoint, model, "")
             for t in self.of_service(service)
@@ -229,7 +241,7 @@
         traits: dialect.Traits,
         kv_tokens: int,
         priority: int,
-        besides: frozenset[str],
+        excluded: frozenset[str],
         is_connected: Callable[[str], bool],
     ) -> list[selection.Candidate]:
         """Returns the endpoints that can answer a request now."""
@@ -237,14 +249,16 @@
         found = [
             t
             for t in self.of_service(service)
-            if t.endpoint.name not in besides
+            if t.endpoint.name not in excluded
             and self._may_serve(t.endpoint, traits)
             and not self.notices.find_pause(t.endpoint)
         ]
-        usual = min((t.condition.failure_rate(now) for t in found), default=0.0)
+        base_rate = min(
+            (t.condition.failure_rate(now) for t in found), default=0.0
+        )
         return [
             dataclasses.replace(
-                self._make_candidate(t, traits, kv_tokens, usual, now),
+                self._make_candidate(t, traits, kv_tokens, base_rate, now),
                 is_connected=is_connected(t.endpoint.name),
                 unread=backlog.seconds_ahead(
                     backlog.add(t.unread, t.others[1]), priority
@@ -256,17 +270,17 @@
     def _may_serve(
         self, endpoint: fleet.Endpoint, traits: dialect.Traits
     ) -> bool:
-        """Whether an endpoint that stays holds what a request needs."""
+        """Whether an endpoint isn't leaving and holds what a request needs."""
         if endpoint.is_leaving:
             return False
         return self.holds(endpoint, traits.model, traits.adapter)
 
-    def note_backoff(self, use: Use, seconds: float) -> None:
-        """Notes that an endpoint asked for rest.
+    def note_backoff(self, active: ActiveRequest, seconds: float) -> None:
+        """Records that an endpoint asked for a back-off.
 
-        That is a bound and no preference: it turns away what comes meanwhile.
+        This is binding: the endpoint refuses requests until it is over.
         """
-        endpoint = use.tracked.endpoint
+        endpoint = active.tracked.endpoint
         self.notices.note_backoff(endpoint, seconds)
         logs.event(
             _LOG,
@@ -278,26 +292,28 @@
         )
 
     def find_backoff(
-        self, service: str, traits: dialect.Traits, besides: frozenset[str]
+        self, service: str, traits: dialect.Traits, excluded: frozenset[str]
     ) -> float | None:
-        """Returns the seconds until one that can serve a request may take it.
+        """Returns the shortest back-off of the endpoints that can serve.
 
         Returns:
-            0 if one may now, None if none can serve it.
+            Seconds, 0 if an endpoint may get the request now, None if no
+            endpoint can serve it.
         """
-        rests = (
+        pauses = (
             self.notices.find_pause(t.endpoint)
             for t in self.of_service(service)
-            if t.endpoint.name not in besides
+            if t.endpoint.name not in excluded
             and self._may_serve(t.endpoint, traits)
         )
-        return min(rests, default=None)
+        return min(pauses, default=None)
 
     def find_limit(self, service: str, traits: dialect.Traits) -> float | None:
-        """Returns what all that can serve a request take, requests a second.
+        """Returns the sum of the limits of endpoints that can serve a request.
 
         Returns:
-            None if one of them names no limit, or if there is none.
+            Requests per second, None if no endpoint can serve it or one of them
+            names no limit.
         """
         limits = [
             self.notices.find_limit(t.endpoint.incarnation)
@@ -310,10 +326,10 @@
 
     def _make_candidate(
         self,
-        tracked: Tracked,
+        tracked: TrackedEndpoint,
         traits: dialect.Traits,
         kv_tokens: int,
-        usual: float,
+        base_rate: float,
         now: float,
     ) -> selection.Candidate:
         endpoint = tracked.endpoint
@@ -329,81 +345,86 @@
             slots=endpoint.slots,
             reading=self.reading.estimate(traits.model, uncached),
             memory=memory,
-            failures=tracked.condition.failure_rate(now) - usual,
+            failures=tracked.condition.failure_rate(now) - base_rate,
             is_near=endpoint.data_hall == self._data_hall,
             is_suspended=tracked.condition.is_backing_off(now)
-            or _is_silent(tracked, now),
+            or _is_unresponsive(tracked, now),
             is_limited=self.notices.find_limit(endpoint.incarnation)
             is not None,
         )
 
-    # What this instance does
+    # Requests of this instance
 
     def count_uncached(self, name: str, traits: dialect.Traits) -> int:
-        """Returns the tokens of a prompt that an endpoint has to read."""
+        """Returns how many tokens of a prompt an endpoint has to read."""
         if not traits.parts:
             return traits.prompt_tokens
         item = f"{traits.model}/{traits.adapter}"
         cached = self.prefixes.count_cached(name, item, traits.parts)
         return max(traits.prompt_tokens - cached, 0)
 
-    def begin(self, name: str, traits: dialect.Traits, priority: int) -> Use:
+    def begin(
+        self, name: str, traits: dialect.Traits, priority: int
+    ) -> ActiveRequest:
         """Counts a request that is about to be sent."""
         tracked = self.tracked[name]
         now = clock.now()
         uncached = self.count_uncached(name, traits)
         seconds = self.reading.estimate(traits.model, uncached)
-        elsewhere = sum(tracked.others[1])
-        use = Use(
+        others_unread = sum(tracked.others[1])
+        active = ActiveRequest(
             tracked=tracked,
             model=traits.model,
             unread=backlog.of_request(priority, seconds),
             tokens=traits.prompt_tokens + traits.output_tokens,
             uncached=uncached,
-            is_alone=sum(tracked.unread) + elsewhere < _ALONE_SECONDS,
+            is_alone=sum(tracked.unread) + others_unread
+            < _MAX_OTHER_UNREAD_SECONDS,
             began=now,
         )
         if not tracked.in_flight:
             tracked.waits_since = now
         tracked.in_flight += 1
-        tracked.unread = backlog.add(tracked.unread, use.unread)
-        tracked.tokens += use.tokens
+        tracked.unread = backlog.add(tracked.unread, active.unread)
+        tracked.tokens += active.tokens
         if traits.parts:
             item = f"{traits.model}/{traits.adapter}"
             self.prefixes.note(name, item, traits.parts)
-        return use
+        return active
 
-    def hear(self, use: Use) -> None:
-        """Notes that bytes came; the prompt was read."""
+    def note_bytes(self, active: ActiveRequest) -> None:
+        """Records that bytes arrived, so that the prompt was read."""
         now = clock.now()
-        use.tracked.heard = now
-        if not use.unread:
+        active.tracked.heard = now
+        if not active.unread:
             return
-        if use.is_alone and use.model:
-            self.reading.learn(use.model, use.uncached, now - use.began)
-        self._end_reading(use)
-
-    def _end_reading(self, use: Use) -> None:
-        tracked = use.tracked
-        tracked.unread = backlog.subtract(tracked.unread, use.unread)
-        use.unread = backlog.EMPTY
-
-    def end(self, use: Use) -> None:
-        """Counts a request that ended, however it did."""
-        tracked = use.tracked
+        if active.is_alone and active.model:
+            self.reading.learn(
+                active.model, active.uncached, now - active.began
+            )
+        self._end_reading(active)
+
+    def _end_reading(self, active: ActiveRequest) -> None:
+        tracked = active.tracked
+        tracked.unread = backlog.subtract(tracked.unread, active.unread)
+        active.unread = backlog.EMPTY
+
+    def end(self, active: ActiveRequest) -> None:
+        """Stops counting a request that ended, whatever its outcome."""
+        tracked = active.tracked
         tracked.in_flight -= 1
-        tracked.tokens -= use.tokens
-        self._end_reading(use)
+        tracked.tokens -= active.tokens
+        self._end_reading(active)
 
-    def note_answer(self, use: Use, is_failure: bool) -> None:
-        """Notes an endpoint's own answer."""
-        tracked = use.tracked
+    def note_answer(self, active: ActiveRequest, is_failure: bool) -> None:
+        """Records an endpoint's own answer."""
+        tracked = active.tracked
         now = clock.now()
         tracked.condition = tracked.condition.note(is_failure, now)
 
-    def note_miss(self, use: Use) -> None:
-        """Notes that an endpoint was not reached, or broke off."""
-        tracked = use.tracked
+    def note_failed_attempt(self, active: ActiveRequest) -> None:
+        """Records that an endpoint was unreachable or its answer broke off."""
+        tracked = active.tracked
         tracked.condition = tracked.condition.note_unreachable(clock.now())
 
     def dump(self) -> dict[str, object]:
@@ -411,8 +432,8 @@
         return {name: dataclasses.asdict(t) for name, t in self.tracked.items()}
 
 
-def _is_silent(tracked: Tracked, now: float) -> bool:
-    """Whether requests are out there and nothing came for too long."""
+def _is_unresponsive(tracked: TrackedEndpoint, now: float) -> bool:
+    """Whether requests are in flight and no byte arrived for too long."""
     if not tracked.in_flight:
         return False
-    return now - max(tracked.heard, tracked.waits_since) > _SILENCE
+    return now - max(tracked.heard, tracked.waits_since) > _MAX_SILENCE_SECONDS
--- a/tests/gateway/test_harness.py
+++ b/tests/gateway/test_harness.py
@@ -1,4 +1,4 @@
-"""The harness tells why a gateway did not start."""
+"""Tests of the harness: errors of a gateway that did not start, ports."""
 
 import pytest
 
@@ -7,8 +7,9 @@
 
 
 @harness.run
-async def test_gateway_whose_port_is_taken_is_no_silent_time_out(system):
-    # A test waited 10 s for a gateway that had ended and told nothing.
+async def test_start_error_of_a_gateway_is_raised(system):
+    # Without this a test waits 10 s for a gateway that has ended, and the error
+    # is lost.
     options = harness.make_options("g2", system.options.store)
     gateway = system._launch(
         harness.replace_peers(options, system.options.peers)
@@ -18,7 +19,7 @@
     del system._tasks[gateway]
 
 
-def test_port_that_a_datagram_socket_has_is_not_given_out():
+def test_port_of_a_datagram_socket_is_not_free():
     host = ports.make_own_host()
     port = ports.find_free(host)
     with ports.hold(host, port):
--- a/tests/gateway/test_suspended.py
+++ b/tests/gateway/test_suspended.py
@@ -1,11 +1,10 @@
-"""A machine that was suspended for seconds, and goes on as if it had not been.
-
-The steady clock of a process stands still meanwhile, and a bounded time that is
-measured on it seems not to be over. A holder of the lease would go on ordering
-beside its successor, a key that was taken away would go on to let callers in,
-and connections that their engine has closed would be used. Found by reading:
-some 190 places took the steady clock, none the one that runs on while the
-machine is suspended. These tests move that one alone.
+"""Tests of time limits on a machine that was suspended for some seconds.
+
+CLOCK_MONOTONIC stands still during a suspension, so that a time limit measured
+on it outlives its bound. A lease holder would then send orders beside its
+successor, a revoked key would still be accepted, and connections that an engine
+has closed would be reused. These tests advance CLOCK_BOOTTIME alone, which
+counts the time suspended.
 """
 
 import asyncio
@@ -33,7 +32,7 @@
 
 
 def suspend(seconds):
-    """Returns what lets the machine have been suspended for so long."""
+    """Returns a patch under which the machine was suspended for some time."""
 
     def read(clock):
         passed = seconds if clock == time.CLOCK_BOOTTIME else 0.0
@@ -43,65 +42,67 @@
 
 
 @harness.run
-async def test_lease_has_run_out(system):
+async def test_lease_expires_during_suspension(system):
     await system.until(lambda: system.gateway.leadership.is_valid)
     with suspend(5.0):
         assert not system.gateway.leadership.is_valid
 
 
 @harness.run
-async def test_holders_word_of_the_store_is_old(system):
-    seen = staleness.Staleness(1.3, lambda: False)
-    seen.hear(0.1, True)
-    assert seen.is_fresh
+async def test_store_progress_from_the_lease_holder_becomes_stale(system):
+    store_staleness = staleness.Staleness(1.3, lambda: False)
+    store_staleness.hear(0.1, True)
+    assert store_staleness.is_fresh
     with suspend(5.0):
-        assert not seen.is_fresh
+        assert not store_staleness.is_fresh
 
 
 @harness.run
-async def test_configuration_is_not_confirmed_any_more(system):
+async def test_confirmation_of_the_configuration_expires(system):
     bounds = options_module.Bounds(revocation=5.0)
     options = options_module.Options(
         "g", "127.0.0.1", "h", "", "", "", "127.0.0.1:1", 0, bounds
     )
     holder = configuration.Holder()
     holder.offer(system.gateway.holder.manifest)
-    known = confirmations.Confirmations(
+    config_confirmations = confirmations.Confirmations(
         options, holder, None, lambda: None, list, None, None
     )
-    known.note_read(clock.now())
-    assert known.is_reliable
+    config_confirmations.note_read(clock.now())
+    assert config_confirmations.is_reliable
     with suspend(6.0):
-        assert not known.is_reliable
+        assert not config_confirmations.is_reliable
 
 
 @harness.run
-async def test_word_of_an_order_is_over(system):
+async def test_item_update_expires(system):
     view = view_module.EndpointView("hall-1")
     endpoint = fleet.Endpoint("e1", "models", "127.0.0.1:1", "hall-1")
-    view.take(endpoint)
-    view.tell("e1", "m1", "", True)
+    view.apply_entry(endpoint)
+    view.note_item("e1", "m1", "", True)
     assert view.holds(endpoint, "m1", "")
     with suspend(10.0):
         assert not view.holds(endpoint, "m1", "")
 
 
 @harness.run
-async def test_holder_without_the_store_goes_on_no_longer(system):
+async def test_detached_operation_ends(system):
     detached_operation = (
         system.gateway._order_sender.claims.is_detached.__closure__[0]
     )
     detached_operation = detached_operation.cell_contents
     leadership = system.gateway.leadership
     await system.until(lambda: leadership.is_valid)
-    word = detachment.PeerStatus(
+    peer_status = detachment.PeerStatus(
         detachment.read_stamp(detachment.make_stamp(clock.now() + 1.0)),
         True,
     )
     members = detached_operation._members
     with (
         mock.patch.object(type(leadership), "is_renewal_overdue", True),
-        mock.patch.object(members, "list_words", lambda term, own: [word]),
+        mock.patch.object(
+            members, "list_words", lambda term, own: [peer_status]
+        ),
         mock.patch.object(members, "list_missing", list),
     ):
         assert detached_operation.is_granted
@@ -110,7 +111,7 @@
 
 
 @harness.run
-async def test_part_of_a_quota_is_not_taken_for_full_at_an_old_word(system):
+async def test_quota_share_refills_during_suspension(system):
     holder = configuration.Holder()
     limiter = limits.Limiter(holder, quota.Allowance())
     organisation = organisations.Organisation(
@@ -120,12 +121,12 @@
         limiter.admit(organisation, 10.0)
     assert limiter.admit(organisation, 10.0) is not None
     with suspend(20.0):
-        # Its time has gone on, so that it has a part again.
+        # The suspended time counts, so that the share has refilled.
         assert limiter.admit(organisation, 1.0) is None
 
 
 @harness.run
-async def test_idle_connection_is_used_no_more(system):
+async def test_idle_connection_expires(system):
     engine = await system.add("e1", "plain")
     host, _, port = (await engine.start()).rpartition(":")
     connections = pool.Pool(0.4)
@@ -137,7 +138,7 @@
 
 
 @harness.run
-async def test_timers_of_the_event_loop_count_the_time(system):
+async def test_event_loop_timers_count_suspended_time(system):
     del system
     loop = asyncio.get_running_loop()
     before = loop.time()
