--- a/src/wayslip/gateway/announcements.py
+++ b/src/wayslip/gateway/announcements.py
@@ -20,7 +20,7 @@
 from wayslip.gateway import tracked_engines as tracked_engines_module
 
 # Between states of load, seconds: load moves by a few requests in this time.
-STATE_SECONDS = 0.25
+STATE_INTERVAL_SECONDS = 0.25
 # The holder looks this often whether it must tell at once that it can not renew
 # or goes on without the store, seconds: each is waited for by the whole fleet,
 # which orders nothing meanwhile.
@@ -31,15 +31,15 @@
 _HANDOVER_SECONDS = 1.0
 # News waits for more of it, seconds for each instance, so that all of a fleet
 # hear at most some thousand datagrams a second.
-_COALESCE_SECONDS = 0.001
-_COALESCE_MOST = 0.15
+_COALESCE_SECONDS_PER_INSTANCE = 0.001
+_MAX_COALESCE_SECONDS = 0.15
 # Demand and claims told with one datagram; each takes some 40 bytes of the 30
 # KB that it may have.
 _PART = 400
 # Lists sent to instances that lack something and can not read it, a second; one
 # takes 25 KB at 84 endpoints, so that they take 2 Mbit/s of the holder's link.
 # An instance that gets none asks again with its next report.
-LISTS_MOST = 10
+MAX_LISTS_PER_SECOND = 10
 # Changes of the list that are kept to be told again: those of some seconds.
 _CHANGES_KEPT = 20
 
@@ -78,7 +78,10 @@
         self._told_words: set[facts.ItemUpdate] = set()
         self._told_arrivals: set[tuple[str, str]] = set()
         self._lists = rate.Bucket(
-            LISTS_MOST, LISTS_MOST, LISTS_MOST, clock.now()
+            MAX_LISTS_PER_SECOND,
+            MAX_LISTS_PER_SECOND,
+            MAX_LISTS_PER_SECOND,
+            clock.now(),
         )
         self._flush: asyncio.TimerHandle | None = None
         self._changes: collections.deque[facts.Changes] = collections.deque(
@@ -89,8 +92,8 @@
     def _books(self) -> Mapping[str, tracked_engines_module.TrackedEngine]:
         return self._order_sender.tracked_engines
 
-    def _spread(self, message: facts.Message) -> None:
-        self._hub.spread(message, self._members.peers())
+    def _broadcast(self, message: facts.Message) -> None:
+        self._hub.broadcast(message, self._members.peers())
 
     # All the time
 
@@ -105,7 +108,7 @@
 
     async def _wait_to_tell(self) -> None:
         """Waits for the next state's time, or for what all must hear now."""
-        end = clock.now() + STATE_SECONDS
+        end = clock.now() + STATE_INTERVAL_SECONDS
         told = self._find_standing()
         while (left := end - clock.now()) > 0:
             if not self._leadership.is_held:
@@ -142,7 +145,7 @@
             is_detached=is_detached,
             levels=self._told_levels,
         )
-        self._hub.spread(
+        self._hub.broadcast(
             state, [*peers, *self._detached_operation.list_missing()]
         )
         now = clock.now()
@@ -162,12 +165,12 @@
         ]
         rates = self._members.list_rates()
         readings = self._members.list_readings()
-        self._spread(facts.Handover(term, peers, (), (), readings))
+        self._broadcast(facts.Handover(term, peers, (), (), readings))
         for i in range(0, max(len(claims), len(rates)), _PART):
             part = facts.Handover(
                 term, (), tuple(claims[i : i + _PART]), rates[i : i + _PART]
             )
-            self._spread(part)
+            self._broadcast(part)
 
     # News
 
@@ -178,7 +181,9 @@
             # word would be taken for the next holder's.
             return
         count = len(self._members.peers())
-        delay = min(count * _COALESCE_SECONDS, _COALESCE_MOST)
+        delay = min(
+            count * _COALESCE_SECONDS_PER_INSTANCE, _MAX_COALESCE_SECONDS
+        )
         loop = asyncio.get_running_loop()
         self._flush = loop.call_later(delay, self._tell_news)
 
@@ -188,18 +193,18 @@
             return
         now = clock.now()
         words = self._list_words(now)
-        arrivals = self._list_arrivals(now)
+        pending_loads = self._list_arrivals(now)
         # The seconds that are left change all the time and are no news.
         fresh = tuple(w for w in words if _identify(w) not in self._told_words)
         coming = tuple(
             a
-            for a in arrivals
+            for a in pending_loads
             if (a.endpoint, a.model) not in self._told_arrivals
         )
-        self._remember(words, arrivals)
+        self._remember(words, pending_loads)
         if fresh or coming:
             term = self._leadership.seen_term
-            self._spread(facts.PlacementUpdate(term, False, fresh, coming))
+            self._broadcast(facts.PlacementUpdate(term, False, fresh, coming))
 
     def announce_to(
         self,
@@ -224,18 +229,22 @@
     def _tell_whole(self) -> None:
         now = clock.now()
         words = self._list_words(now)
-        arrivals = self._list_arrivals(now)
-        self._remember(words, arrivals)
+        pending_loads = self._list_arrivals(now)
+        self._remember(words, pending_loads)
         term = self._leadership.seen_term
-        self._spread(
-            facts.PlacementUpdate(term, True, tuple(words), tuple(arrivals))
+        self._broadcast(
+            facts.PlacementUpdate(
+                term, True, tuple(words), tuple(pending_loads)
+            )
         )
 
     def _remember(
-        self, words: list[facts.ItemUpdate], arrivals: list[facts.Arrival]
+        self,
+        words: list[facts.ItemUpdate],
+        pending_loads: list[facts.PendingLoad],
     ) -> None:
         self._told_words = {_identify(w) for w in words}
-        self._told_arrivals = {(a.endpoint, a.model) for a in arrivals}
+        self._told_arrivals = {(a.endpoint, a.model) for a in pending_loads}
 
     def _list_words(self, now: float) -> list[facts.ItemUpdate]:
         words = []
@@ -250,9 +259,9 @@
                 )
         return words
 
-    def _list_arrivals(self, now: float) -> list[facts.Arrival]:
+    def _list_arrivals(self, now: float) -> list[facts.PendingLoad]:
         return [
-            facts.Arrival(
+            facts.PendingLoad(
                 tracked_engine.endpoint.name,
                 tracked_engine.endpoint.service,
                 model,
@@ -272,7 +281,7 @@
             told = dataclasses.replace(changes, term=term)
             if told.revision:
                 self._changes.append(told)
-            self._spread(told)
+            self._broadcast(told)
 
     def repeat_changes(
         self, missing: facts.Missing, source: hub_module.Address
--- a/src/wayslip/gateway/configuration_sync.py
+++ b/src/wayslip/gateway/configuration_sync.py
@@ -89,7 +89,9 @@
             store,
             kind,
             staleness_module.Staleness(
-                options.bounds.word, lambda: leadership.is_held, self._obtain
+                options.bounds.max_staleness,
+                lambda: leadership.is_held,
+                self._obtain,
             ),
             self._take_list,
             self._take_changes,
@@ -106,11 +108,11 @@
             lambda: leadership.holder_address,
             members.list_addresses,
             self._take_word,
-            self.watcher.look,
+            self.watcher.read_now,
         )
 
     @property
-    def sight(self) -> access.ConfigurationStatus:
+    def status(self) -> access.ConfigurationStatus:
         """What is known of the configuration in force."""
         is_newest = self.watcher.is_current and not self._may_lack
         return access.ConfigurationStatus(
@@ -126,7 +128,7 @@
         self._rewritten_at = clock.now() + _REWRITE_SECONDS
 
     @property
-    def seen(self) -> facts.WatchProgress:
+    def progress(self) -> facts.WatchProgress:
         """How far it is followed, as the lease's holder tells it."""
         return facts.WatchProgress(self._holder.version or 0, self.watcher.age)
 
@@ -136,8 +138,10 @@
 
     def _take_word(self, version: int, age: float) -> None:
         """Takes in which version another instance has as the newest."""
-        self.distribution.hear(version)
-        self.watcher.staleness.hear(age, not self.distribution.is_behind)
+        self.distribution.note_announcement(version)
+        self.watcher.staleness.note_announcement(
+            age, not self.distribution.is_behind
+        )
 
     async def _obtain(self) -> None:
         """Asks other instances for the configuration that we lack."""
--- a/src/wayslip/gateway/confirmations.py
+++ b/src/wayslip/gateway/confirmations.py
@@ -163,7 +163,7 @@
             found = facts.Confirmed(message.stamp, version, round(age, 4))
             self._hub.send(found, source)
 
-    def take(self, message: facts.Confirmed) -> None:
+    def apply_answer(self, message: facts.Confirmed) -> None:
         """Takes an answer in; its age counts from when we asked."""
         if message.stamp not in self._open:
             return
--- a/src/wayslip/gateway/daemon.py
+++ b/src/wayslip/gateway/daemon.py
@@ -84,7 +84,7 @@
         self.metrics = metrics_module.Metrics()
         self.holder = configuration.Holder()
         self.view = view_module.EndpointView(options.data_hall)
-        self._hub = hub_module.Hub(self._take_message, self.metrics)
+        self._hub = hub_module.Hub(self._handle_message, self.metrics)
         self.leadership = leadership_module.Leadership(
             options,
             platform.store,
@@ -155,7 +155,7 @@
             self._hub,
             self.leadership,
             self._peer_broadcast,
-            lambda: self._placement.hears_holder,
+            lambda: self._placement.has_recent_state,
             lambda: self._placement.instances,
         )
         self._order_sender.may_call = self._permit_broker.may_call
@@ -166,7 +166,7 @@
             self.view,
             self._placement,
             self.metrics,
-            lambda: self._configuration_sync.sight,
+            lambda: self._configuration_sync.status,
             limiter,
             self._quarantine,
             self._report_leaving,
@@ -190,7 +190,7 @@
             platform.store,
             platform.endpoints,
             staleness.Staleness(
-                options.bounds.word,
+                options.bounds.max_staleness,
                 lambda: self.leadership.is_held,
                 self._obtain_changes,
             ),
@@ -240,7 +240,7 @@
         """
         if self.view.note_leaving(endpoint.start, self._options.name):
             told = facts.Leaving(endpoint.name, endpoint.born)
-            self._peer_broadcast.spread(told)
+            self._peer_broadcast.broadcast(told)
             self._placement.notify()
 
     async def _obtain_changes(self) -> None:
@@ -369,17 +369,17 @@
 
     def _find_store_progress(self) -> announcements.StoreProgress:
         return announcements.StoreProgress(
-            self._configuration_sync.seen,
+            self._configuration_sync.progress,
             facts.WatchProgress(
                 self._endpoints.changed_at, self._endpoints.watcher.age
             ),
         )
 
-    def _take_message(
+    def _handle_message(
         self, message: facts.Message, source: hub_module.Address
     ) -> None:
         if isinstance(message, facts.State):
-            self._placement.take(message)
+            self._placement.apply_state(message)
             self._apply_store_progress(message)
         elif isinstance(message, facts.PlacementUpdate):
             self._placement.apply_placement_update(message)
@@ -392,11 +392,11 @@
         elif isinstance(message, facts.Confirm):
             self._configuration_sync.confirmations.answer(message, source)
         elif isinstance(message, facts.Confirmed):
-            self._configuration_sync.confirmations.take(message)
+            self._configuration_sync.confirmations.apply_answer(message)
         elif isinstance(message, facts.Leaving):
             start = fleet.Start(message.endpoint, message.born)
             if self.view.note_leaving(start, source[0]):
-                self._peer_broadcast.pass_on(message)
+                self._peer_broadcast.forward_as_holder(message)
         elif isinstance(message, facts.Limited):
             self._permit_broker.apply_update(message, source[0])
         elif isinstance(message, facts.PermitRequest):
@@ -414,7 +414,7 @@
             return
         self._configuration_sync.apply_update(state.configuration)
         told = state.endpoints
-        self._endpoints.watcher.staleness.hear(
+        self._endpoints.watcher.staleness.note_announcement(
             told.age, self._endpoints.has(told.revision)
         )
 
--- a/src/wayslip/gateway/datagrams.py
+++ b/src/wayslip/gateway/datagrams.py
@@ -43,7 +43,7 @@
     "usages": facts.Usage,
     "demands": facts.Demand,
     "updates": facts.ItemUpdate,
-    "arrivals": facts.Arrival,
+    "pending_loads": facts.PendingLoad,
     "claims": facts.ClaimRevision,
     "rates": facts.Rate,
     "listed": facts.Listed,
--- a/src/wayslip/gateway/detached_operation.py
+++ b/src/wayslip/gateway/detached_operation.py
@@ -58,7 +58,7 @@
         if self._leadership.is_held and self._leadership.is_renewal_overdue:
             term = self._leadership.seen_term
             self._state = before.judge(
-                self._members.list_words(term, self._own),
+                self._members.list_statuses(term, self._own),
                 bool(self.list_missing()),
                 # At the resolution in which words in answer are told.
                 detachment.read_stamp(detachment.make_stamp(clock.now())),
@@ -71,7 +71,7 @@
 
     def _log_change(self) -> None:
         term = self._leadership.seen_term
-        words = self._members.list_words(term, self._own)
+        words = self._members.list_statuses(term, self._own)
         oldest = min((w.echoed_at for w in words), default=clock.now())
         logs.event(
             _LOG,
--- a/src/wayslip/gateway/distribution.py
+++ b/src/wayslip/gateway/distribution.py
@@ -78,7 +78,7 @@
         """Whether a newer version is known to exist."""
         return self._version < self.told
 
-    def hear(self, version: int) -> None:
+    def note_announcement(self, version: int) -> None:
         """Takes in which version the lease's holder has."""
         self.told = max(self.told, version)
 
@@ -165,7 +165,7 @@
         if not known.isdigit():
             exchange.answer(400, (), b"give newer_than as a whole number\n")
             return
-        data = self.hand_on(int(known))
+        data = self.serve_copy(int(known))
         if data is None:
             exchange.answer(204, (), b"")
         elif not data:
@@ -173,7 +173,7 @@
         else:
             exchange.answer(200, _CONTENT, data)
 
-    def hand_on(self, known: int) -> bytes | None:
+    def serve_copy(self, known: int) -> bytes | None:
         """Returns a copy for an instance that has a version.
 
         Returns:
--- a/src/wayslip/gateway/endpoint_chooser.py
+++ b/src/wayslip/gateway/endpoint_chooser.py
@@ -145,9 +145,11 @@
             job.tried,
             self._has_idle,
         )
-        unseen = self._placement.find_unseen(job.service.name, job.traits.model)
+        unseen = self._placement.estimate_unreported_work(
+            job.service.name, job.traits.model
+        )
         choice = selection.choose(candidates, self._rng.random(), unseen)
-        self._metrics.latency("word_age").observe(self._placement.word_age)
+        self._metrics.latency("word_age").observe(self._placement.state_age)
         if choice is not None:
             logs.event(
                 _LOG,
@@ -174,7 +176,7 @@
             left = self._find_patience(job)
             if left <= 0:
                 return None
-            is_told = await self._placement.want(
+            is_told = await self._placement.request_item(
                 job.service.name, job.traits, left
             )
             choice = self._choose(job)
@@ -188,7 +190,9 @@
         situation = wait_policies.Situation(
             waited=now - job.began,
             target=job.route.target,
-            expected=self._placement.expect(job.service.name, job.traits),
+            expected=self._placement.estimate_ready_seconds(
+                job.service.name, job.traits
+            ),
             lacks_adapter_only=self._lacks_adapter_only(job),
         )
         return self._patience(situation)
@@ -204,7 +208,9 @@
         if job.relayed or job.progress.may_have_run:
             self._endings.answer_verdict(job, retry.Verdict.UNKNOWN)
             return
-        wait = self._placement.expect(job.service.name, job.traits)
+        wait = self._placement.estimate_ready_seconds(
+            job.service.name, job.traits
+        )
         reason = "not_loaded" if job.traits.model else "no_endpoint"
         rest = self._endpoint_backoff.find_return(job)
         if rest is not None:
--- a/src/wayslip/gateway/facts.py
+++ b/src/wayslip/gateway/facts.py
@@ -42,7 +42,7 @@
 
     Attributes:
         work: Seconds that an engine takes to read their prompts.
-        patient: Those whose client can still be there when a load from the
+        can_wait: Those whose client can still be there when a load from the
             weight store ends.
     """
 
@@ -51,7 +51,7 @@
     adapter: str
     count: int
     work: float
-    patient: int = 0
+    can_wait: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -213,7 +213,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Arrival:
+class PendingLoad:
     """A model that is being loaded and the seconds until it can serve.
 
     Attributes:
@@ -339,7 +339,7 @@
     term: int
     is_whole: bool
     updates: tuple[ItemUpdate, ...]
-    arrivals: tuple[Arrival, ...]
+    pending_loads: tuple[PendingLoad, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -392,7 +392,7 @@
 class Relay:
     """A message that its receiver takes and passes on."""
 
-    others: tuple[str, ...]
+    recipients: tuple[str, ...]
     payload: bytes
 
 
--- a/src/wayslip/gateway/hub.py
+++ b/src/wayslip/gateway/hub.py
@@ -59,7 +59,7 @@
         self._handler(message, addr)
 
     def _pass_on(self, message: facts.Relay) -> None:
-        for other in message.others:
+        for other in message.recipients:
             self._send(message.payload, addresses.split_address(other))
 
     def error_received(self, exc: Exception) -> None:
@@ -70,7 +70,7 @@
         """Sends a message; it may be lost."""
         self._send(datagrams.encode(message), address)
 
-    def spread(
+    def broadcast(
         self, message: facts.Message, peers: Iterable[fanout.Peer]
     ) -> None:
         """Sends a message to many, encoded once; it may be lost on any way."""
--- a/src/wayslip/gateway/members.py
+++ b/src/wayslip/gateway/members.py
@@ -37,7 +37,7 @@
 # asked for every ten seconds or so.
 _MISS_SECONDS = 25.0
 # An instance that was silent for this long is no longer counted, seconds.
-_SILENCE = 2.0
+_SILENCE_SECONDS = 2.0
 
 
 @dataclasses.dataclass
@@ -68,7 +68,7 @@
             reading.ReadingRates() if readings is None else readings
         )
         self._members: dict[str, _Member] = {}
-        self._told: tuple[fanout.Peer, ...] = ()
+        self._announced_peers: tuple[fanout.Peer, ...] = ()
         # Instances that fell silent without a word, and since when.
         self._missing: dict[fanout.Peer, float] = {}
         self._models: demand.Rates[tuple[str, str]] = demand.Rates(_FADING)
@@ -119,7 +119,7 @@
             if key in held:
                 self._misses.pop(key, None)
             else:
-                missed = one.count + one.patient * _PATIENT_MISSES
+                missed = one.count + one.can_wait * _PATIENT_MISSES
                 self._misses[key] = self._misses.get(key, 0) + missed
                 self._missed_at[key] = now
             if one.adapter:
@@ -127,7 +127,9 @@
         for sample in report.readings:
             self._readings.note(sample.model, sample.rate)
 
-    def meet(self, want: facts.ItemRequest, source: hub_module.Address) -> None:
+    def note_sender(
+        self, want: facts.ItemRequest, source: hub_module.Address
+    ) -> None:
         """Takes in where an instance hears us before its first report."""
         if want.instance not in self._members:
             peer = _make_peer(source, want.data_hall)
@@ -258,7 +260,7 @@
 
     def adopt_peers(self, peers: tuple[tuple[str, str], ...]) -> None:
         """Takes over which instances there are, as the holder tells it."""
-        self._told = tuple(fanout.Peer(*one) for one in peers)
+        self._announced_peers = tuple(fanout.Peer(*one) for one in peers)
 
     def peers(self) -> list[fanout.Peer]:
         """Returns where the instances hear us, forgetting silent ones.
@@ -267,23 +269,23 @@
         """
         now = clock.now()
         for name, member in list(self._members.items()):
-            if now - member.heard > _SILENCE:
+            if now - member.heard > _SILENCE_SECONDS:
                 del self._members[name]
                 if member.is_leaving:
                     self._missing.pop(member.peer, None)
                 else:
                     self._missing.setdefault(member.peer, now)
         found = [m.peer for m in self._members.values()]
-        if now - self._met >= _SILENCE:
-            return found or list(self._told)
+        if now - self._met >= _SILENCE_SECONDS:
+            return found or list(self._announced_peers)
         # Just after the lease was taken not everybody has found us yet.
-        return list({*found, *self._told})
+        return list({*found, *self._announced_peers})
 
     def list_addresses(self) -> list[str]:
         """Returns where instances hear their peers, as the holder last told."""
-        return [p.address for p in self._told]
+        return [p.address for p in self._announced_peers]
 
-    def list_words(self, term: int, own: str) -> list[detachment.PeerStatus]:
+    def list_statuses(self, term: int, own: str) -> list[detachment.PeerStatus]:
         """Returns what the other instances said in answer to our states.
 
         Args:
@@ -319,7 +321,7 @@
         """Begins a term: forgets reports of an earlier one, not the demand."""
         self._members.clear()
         self._met = clock.now()
-        self._missing = dict.fromkeys(self._told, self._met)
+        self._missing = dict.fromkeys(self._announced_peers, self._met)
 
 
 def _make_peer(source: hub_module.Address, data_hall: str) -> fanout.Peer:
--- a/src/wayslip/gateway/options.py
+++ b/src/wayslip/gateway/options.py
@@ -54,7 +54,7 @@
         return self.config_apply * _WATCH_SHARE
 
     @property
-    def word(self) -> float:
+    def max_staleness(self) -> float:
         """How old the lease holder's word of the store may get."""
         return self.config_apply * _WORD_SHARE
 
--- a/src/wayslip/gateway/peer_broadcast.py
+++ b/src/wayslip/gateway/peer_broadcast.py
@@ -31,14 +31,14 @@
             return peers
         return [*peers, fanout.Peer(holder, "")]
 
-    def spread(self, message: facts.Message) -> None:
+    def broadcast(self, message: facts.Message) -> None:
         """Tells everybody; a datagram may be lost on any way."""
-        self._hub.spread(message, self.list_peers())
+        self._hub.broadcast(message, self.list_peers())
 
-    def pass_on(self, message: facts.Message) -> None:
+    def forward_as_holder(self, message: facts.Message) -> None:
         """Tells everybody what was news to us, if we hold the lease.
 
         Who told us may have known nobody else.
         """
         if self._leadership.is_held:
-            self.spread(message)
+            self.broadcast(message)
--- a/src/wayslip/gateway/permit_broker.py
+++ b/src/wayslip/gateway/permit_broker.py
@@ -128,7 +128,7 @@
             return
         self._log(start, limit, self._name)
         told = facts.Limited(start.endpoint, start.born, limit)
-        self._peer_broadcast.spread(told)
+        self._peer_broadcast.broadcast(told)
 
     def apply_update(self, told: facts.Limited, source: str) -> None:
         """Takes in what another instance heard."""
@@ -136,7 +136,7 @@
         if not self._words.note_limit(start, told.limit, clock.now()):
             return
         self._log(start, told.limit, source)
-        self._peer_broadcast.pass_on(told)
+        self._peer_broadcast.forward_as_holder(told)
 
     def _log(
         self, start: fleet.Start, limit: float | None, source: str
--- a/src/wayslip/gateway/placement.py
+++ b/src/wayslip/gateway/placement.py
@@ -76,7 +76,7 @@
         )
         self._changed = asyncio.Event()
         self._wished: dict[tuple[str, str, str], float] = {}
-        self._arrivals: dict[tuple[str, str], float] = {}
+        self._pending_loads: dict[tuple[str, str], float] = {}
         # When items that were ordered can serve; bounded by their number.
         self._ready_at: dict[tuple[str, str], float] = {}
         self._heard = 0.0
@@ -90,14 +90,14 @@
         self.instances = _ASSUMED_INSTANCES
 
     @property
-    def word_age(self) -> float:
+    def state_age(self) -> float:
         """Seconds since the holder's load of endpoints was last heard."""
         return clock.now() - self._heard
 
     @property
-    def hears_holder(self) -> bool:
+    def has_recent_state(self) -> bool:
         """Whether the lease's holder was heard a moment ago."""
-        return self.word_age <= _SILENCE_SECONDS
+        return self.state_age <= _SILENCE_SECONDS
 
     @property
     def has_recent_contact(self) -> bool:
@@ -131,7 +131,7 @@
         self._work[item] = self._work.get(item, 0.0) + work
         self._patient[item] += will_wait
 
-    async def want(
+    async def request_item(
         self, service: str, traits: dialect.Traits, seconds: float
     ) -> bool:
         """Asks for a model and waits for any news of endpoints.
@@ -158,16 +158,18 @@
             return seconds > _WISH_SECONDS
         return True
 
-    def expect(self, service: str, traits: dialect.Traits) -> float | None:
+    def estimate_ready_seconds(
+        self, service: str, traits: dialect.Traits
+    ) -> float | None:
         """Returns the seconds until a model can serve, None if unknown."""
         now = clock.now()
         ready = self._ready_at.get((traits.model, traits.adapter), 0.0)
         if ready > now:
             return ready - now
-        arrival = self._arrivals.get((service, traits.model))
+        arrival = self._pending_loads.get((service, traits.model))
         return None if arrival is None else max(arrival - now, 0.0)
 
-    def find_unseen(self, service: str, model: str) -> float:
+    def estimate_unreported_work(self, service: str, model: str) -> float:
         """Returns the work that comes for a model before all know of it.
 
         Returns:
@@ -176,7 +178,7 @@
         """
         if not model:
             return 0.0
-        age = self._find_report_seconds() + announcements.STATE_SECONDS
+        age = self._find_report_seconds() + announcements.STATE_INTERVAL_SECONDS
         return self._members.work(service, model) * age
 
     def notify(self) -> None:
@@ -267,7 +269,7 @@
         self._is_leaving = True
         self._report()
 
-    def take(self, state: facts.State) -> None:
+    def apply_state(self, state: facts.State) -> None:
         """Takes in what the holder tells all the time."""
         known = self._leadership.seen_term
         if state.term < known:
@@ -298,12 +300,12 @@
         for word in news.updates:
             self._take_word(word)
         if news.is_whole:
-            self._arrivals = {}
+            self._pending_loads = {}
         now = clock.now()
-        for one in news.arrivals:
+        for one in news.pending_loads:
             key = (one.service, one.model)
             at = now + one.seconds
-            self._arrivals[key] = min(self._arrivals.get(key, at), at)
+            self._pending_loads[key] = min(self._pending_loads.get(key, at), at)
 
     def _take_usages(self, state: facts.State) -> None:
         totals = {u.endpoint: u for u in state.usages}
--- a/src/wayslip/gateway/planner.py
+++ b/src/wayslip/gateway/planner.py
@@ -174,7 +174,7 @@
     def _take_want(
         self, want: facts.ItemRequest, source: hub_module.Address
     ) -> None:
-        self.members.meet(want, source)
+        self.members.note_sender(want, source)
         if not want.adapter:
             return
         wish = (want.service, want.model, want.adapter)
@@ -218,7 +218,7 @@
         now = clock.now()
         if news.is_whole:
             self._heard_arrivals = {}
-        for one in news.arrivals:
+        for one in news.pending_loads:
             if one.is_ordered:
                 key = (one.endpoint, one.model)
                 self._heard_arrivals[key] = now + one.seconds
--- a/src/wayslip/gateway/quarantine.py
+++ b/src/wayslip/gateway/quarantine.py
@@ -312,7 +312,7 @@
                 told.cleared[i : i + _PART],
                 told.common[i : i + _PART],
             )
-            self._peer_broadcast.spread(part)
+            self._peer_broadcast.broadcast(part)
 
     def _tell_again(self) -> None:
         """Tells what others may have missed."""
--- a/src/wayslip/gateway/staleness.py
+++ b/src/wayslip/gateway/staleness.py
@@ -49,7 +49,7 @@
         self._heard = asyncio.Event()
         self.is_behind = False
 
-    def hear(self, age: float, is_complete: bool) -> None:
+    def note_announcement(self, age: float, is_complete: bool) -> None:
         """Takes in how old the holder's view is.
 
         Args:
--- a/src/wayslip/gateway/watcher.py
+++ b/src/wayslip/gateway/watcher.py
@@ -155,7 +155,7 @@
                 return
             await self.staleness.wait_for_update(min(left, pause))
 
-    async def look(self) -> None:
+    async def read_now(self) -> None:
         """Reads the newest now, whatever was heard of it.
 
         Raises:
--- a/tests/gateway/test_announcements.py
+++ b/tests/gateway/test_announcements.py
@@ -93,12 +93,12 @@
 
     holder._announcer._hub.send = note
     for number in range(190):
-        holder._take_message(report_blind(number), ("10.0.0.9", number))
-    assert 1 <= len(sent) <= announcements.LISTS_MOST
+        holder._handle_message(report_blind(number), ("10.0.0.9", number))
+    assert 1 <= len(sent) <= announcements.MAX_LISTS_PER_SECOND
     # The others ask again with their next reports, and get it in turn.
     before = set(sent)
-    await asyncio.sleep(1.5 / announcements.LISTS_MOST)
-    holder._take_message(report_blind(189), ("10.0.0.9", 189))
+    await asyncio.sleep(1.5 / announcements.MAX_LISTS_PER_SECOND)
+    holder._handle_message(report_blind(189), ("10.0.0.9", 189))
     assert set(sent) - before == {("10.0.0.9", 189)}
 
 
@@ -123,11 +123,11 @@
     watcher = follower._endpoints.watcher
     await system.until(lambda: watcher.staleness.is_fresh)
     seen_at = watcher.seen_at
-    spread = system.gateway._announcer._spread
+    broadcast = system.gateway._announcer._broadcast
     # Changes get lost once, and come again when they are asked for.
-    system.gateway._announcer._spread = lambda message: None
+    system.gateway._announcer._broadcast = lambda message: None
     await system.add("e1", "plain")
-    system.gateway._announcer._spread = spread
+    system.gateway._announcer._broadcast = broadcast
     await system.until(lambda: "e1" in follower.view.tracked)
     assert watcher.seen_at == seen_at
 
@@ -165,7 +165,7 @@
     async def body():
         staleness = staleness_module.Staleness(0.3, lambda: False)
         assert not staleness.is_fresh
-        staleness.hear(0.1, True)
+        staleness.note_announcement(0.1, True)
         assert staleness.is_fresh
         await asyncio.wait_for(staleness.wait_until_needed(), 5.0)
         assert not staleness.is_fresh
@@ -176,14 +176,14 @@
 def test_missing_change_ends_the_wait_and_a_late_one_goes_on_with_it():
     async def body():
         staleness = staleness_module.Staleness(60.0, lambda: False)
-        staleness.hear(0.0, True)
+        staleness.note_announcement(0.0, True)
         waiting = asyncio.create_task(staleness.wait_until_needed())
         await asyncio.sleep(0)
-        staleness.hear(0.0, False)
-        staleness.hear(0.0, True)
+        staleness.note_announcement(0.0, False)
+        staleness.note_announcement(0.0, True)
         await asyncio.sleep(0.4)
         assert not waiting.done()
-        staleness.hear(0.0, False)
+        staleness.note_announcement(0.0, False)
         await asyncio.wait_for(waiting, 5.0)
 
     asyncio.run(body())
@@ -192,7 +192,7 @@
 def test_leader_always_reads():
     async def body():
         staleness = staleness_module.Staleness(60.0, lambda: True)
-        staleness.hear(0.0, True)
+        staleness.note_announcement(0.0, True)
         await asyncio.wait_for(staleness.wait_until_needed(), 1.0)
 
     asyncio.run(body())
--- a/tests/gateway/test_confirmations.py
+++ b/tests/gateway/test_confirmations.py
@@ -77,7 +77,7 @@
     answer, address = knows.hub.sent[-1]
     assert address == ("10.0.0.2", 7)
     clock.at += 3.0
-    asks.confirmations.take(answer)
+    asks.confirmations.apply_answer(answer)
     assert asks.confirmations.is_reliable
     # 3.5 s old by now, of 3.9 s.
     assert asks.heard == [(3, pytest.approx(3.5))]
@@ -96,7 +96,7 @@
 def test_answer_to_no_question_of_ours_counts_for_nothing(clock):
     instance = make_instance(3)
     stamp = int(clock.at * 1e6)
-    instance.confirmations.take(facts.Confirmed(stamp, 3, 0.0))
+    instance.confirmations.apply_answer(facts.Confirmed(stamp, 3, 0.0))
     assert not instance.confirmations.is_reliable
 
 
@@ -113,7 +113,7 @@
     instance = make_instance(3)
     question = ask(instance, clock)
     clock.at += 0.1
-    instance.confirmations.take(facts.Confirmed(question.stamp, 4, 0.0))
+    instance.confirmations.apply_answer(facts.Confirmed(question.stamp, 4, 0.0))
     assert not instance.confirmations.is_reliable
     assert instance.heard[0][0] == 4
     instance.holder.offer(manifest_module.Manifest(4, (), {}))
--- a/tests/gateway/test_detached_operation.py
+++ b/tests/gateway/test_detached_operation.py
@@ -27,7 +27,7 @@
     members.take(
         report("g3", (2, 7_000_000), is_cut_off=True), source(3), set()
     )
-    words = members.list_words(2, "10.0.0.1:1")
+    words = members.list_statuses(2, "10.0.0.1:1")
     assert words == [
         detachment.PeerStatus(float("-inf"), True),
         detachment.PeerStatus(7.0, True),
@@ -38,14 +38,14 @@
     members = members_module.Members()
     members.take(report("g1"), source(1), set())
     members.take(report("g2", is_leaving=True), source(2), set())
-    assert members.list_words(1, "10.0.0.1:1") == []
+    assert members.list_statuses(1, "10.0.0.1:1") == []
 
 
 def test_silent_instance_is_missed_unless_it_said_that_it_stops(monkeypatch):
     members = members_module.Members()
     members.take(report("g2"), source(2), set())
     members.take(report("g3", is_leaving=True), source(3), set())
-    monkeypatch.setattr(members_module, "_SILENCE", 0.0)
+    monkeypatch.setattr(members_module, "_SILENCE_SECONDS", 0.0)
     assert members.peers() == []
     assert members.list_missing() == [fanout.Peer("10.0.0.1:2", "h")]
     members.forget_missing()
--- a/tests/gateway/test_distribution.py
+++ b/tests/gateway/test_distribution.py
@@ -105,16 +105,16 @@
 @harness.run
 async def test_instance_that_is_behind_does_not_deny_a_route(system):
     # What the holder tells of may have the route. 404 is final to a client.
-    system.gateway._configuration_sync.distribution.hear(2)
+    system.gateway._configuration_sync.distribution.note_announcement(2)
     staleness = system.gateway._configuration_sync.watcher.staleness
     staleness._leads = lambda: False
-    staleness.hear(0.0, False)
+    staleness.note_announcement(0.0, False)
     answer = await system.ask("/new/a")
     assert (answer.status, answer.headers["retry-after"]) == (503, "1.00")
     system.store.put("config", "main", platform_site.large_manifest(2, 10))
     await system.until(lambda: system.gateway.holder.version == 2)
     staleness.note_complete()
-    staleness.hear(0.0, True)
+    staleness.note_announcement(0.0, True)
     assert (await system.ask("/new/a")).status == 404
 
 
@@ -128,11 +128,11 @@
         now = 100.0
         with mock.patch.object(distribution_module, "clock") as clock:
             clock.now.return_value = now
-            first = distribution.hand_on(3)
-            assert distribution.hand_on(3) == b""
-            assert distribution.hand_on(4) is None
+            first = distribution.serve_copy(3)
+            assert distribution.serve_copy(3) == b""
+            assert distribution.serve_copy(4) is None
             clock.now.return_value = now + len(first) / 50_000
-            assert distribution.hand_on(3) == first
+            assert distribution.serve_copy(3) == first
         assert snapshots.decode(first) == manifest
 
     asyncio.run(body())
--- a/tests/gateway/test_endpoint_follower.py
+++ b/tests/gateway/test_endpoint_follower.py
@@ -73,7 +73,7 @@
         facts.Changes(0, 0, 10**9, (), gone=("e1",)),
         facts.Changes(0, 0, 10**9, (), names=("e9",)),
     ):
-        gateway._take_message(told, ("127.0.0.1", 1))
+        gateway._handle_message(told, ("127.0.0.1", 1))
     assert "e1" in gateway.view.tracked
 
 
--- a/tests/gateway/test_endpoint_notices.py
+++ b/tests/gateway/test_endpoint_notices.py
@@ -166,7 +166,7 @@
     others = [await system.join(name) for name in ("g2", "g3")]
     for other in others:
         await system.until(lambda o=other: "e1" in o.view.tracked)
-    others[0]._peer_broadcast._members._told = ()
+    others[0]._peer_broadcast._members._announced_peers = ()
     others[0]._peer_broadcast._members.adopt_peers = lambda peers: None
     await system.ask("/get/a", at=others[0])
     tracked = others[1].view.tracked
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -66,8 +66,8 @@
     # milliseconds; the news of it waits 0.15 s for more news; the request is
     # refused after 0.16 s.
     # Log: outcome=not_loaded seconds=0.162, then event=item_told held=True.
-    monkeypatch.setattr(announcements, "_COALESCE_SECONDS", 60.0)
-    monkeypatch.setattr(announcements, "_COALESCE_MOST", 60.0)
+    monkeypatch.setattr(announcements, "_COALESCE_SECONDS_PER_INSTANCE", 60.0)
+    monkeypatch.setattr(announcements, "_MAX_COALESCE_SECONDS", 60.0)
     monkeypatch.setattr(announcements, "_WHOLE_SECONDS", 60.0)
     harness.run(ask_for_an_adapter_elsewhere)()
 
@@ -174,7 +174,7 @@
         3,
         True,
         (facts.ItemUpdate("e1", "m1", "a1", True, 0.1),),
-        (facts.Arrival("e1", "s", "m2", 8.5, True),),
+        (facts.PendingLoad("e1", "s", "m2", 8.5, True),),
     ),
     facts.Handover(
         3,
@@ -287,8 +287,8 @@
     # The route's target is 0.8 s, its time-out 1.5 s and a load takes 0.4 s.
     await system.add("e1", "models", ["m1"])
     placement = system.gateway._placement
-    placement.want = lambda *_: asyncio.sleep(0, result=False)
-    placement.expect = lambda *_: None
+    placement.request_item = lambda *_: asyncio.sleep(0, result=False)
+    placement.estimate_ready_seconds = lambda *_: None
     answer = await ask(system, "m3", "r1")
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) == pytest.approx(0.4, abs=0.1)
--- a/tests/gateway/test_suspended.py
+++ b/tests/gateway/test_suspended.py
@@ -52,7 +52,7 @@
 @harness.run
 async def test_holders_word_of_the_store_is_old(system):
     seen = staleness.Staleness(1.3, lambda: False)
-    seen.hear(0.1, True)
+    seen.note_announcement(0.1, True)
     assert seen.is_fresh
     with suspend(5.0):
         assert not seen.is_fresh
@@ -101,7 +101,7 @@
     members = detached_operation._members
     with (
         mock.patch.object(type(leadership), "is_renewal_overdue", True),
-        mock.patch.object(members, "list_words", lambda term, own: [word]),
+        mock.patch.object(members, "list_statuses", lambda term, own: [word]),
         mock.patch.object(members, "list_missing", list),
     ):
         assert detached_operation.is_granted
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -30,7 +30,7 @@
     assert options.bounds.lease == 3.0
     assert options.bounds.grace == 8.0
     # A silenced watch is found out, and read after, within the 2 s allowed.
-    assert 0 < options.bounds.watch < options.bounds.word < 2.0
+    assert 0 < options.bounds.watch < options.bounds.max_staleness < 2.0
     assert options.cores == 1.0
 
 
--- a/tests/stateful/order_network.py
+++ b/tests/stateful/order_network.py
@@ -355,7 +355,9 @@
         if other is None or away & {self._owner, other.options.name}:
             await asyncio.sleep(STORE_PATIENCE)
             raise errors.EndpointUnclearError("no answer", "ask another")
-        data = other.gateway._configuration_sync.distribution.hand_on(version)
+        data = other.gateway._configuration_sync.distribution.serve_copy(
+            version
+        )
         if data:
             await world.links[other.options.name].carry(len(data))
             await world.links[self._owner].carry(len(data))
--- a/tests/stateful/order_world.py
+++ b/tests/stateful/order_world.py
@@ -71,9 +71,9 @@
         hub = gateway._hub
         hub._rng = self.world.rng
         gateway._configuration_sync.distribution._rng = self.world.rng
-        spread = hub.spread
+        broadcast = hub.broadcast
         # In order, or a seed would play otherwise in every process.
-        hub.spread = lambda message, peers: spread(
+        hub.broadcast = lambda message, peers: broadcast(
             message, sorted(peers, key=str)
         )
         return gateway
@@ -99,7 +99,7 @@
             name = self._find(model, adapter)
             if name is None:
                 task = asyncio.create_task(
-                    placement.want(order_engine.SERVICE, traits, 0.4)
+                    placement.request_item(order_engine.SERVICE, traits, 0.4)
                 )
                 self.world.keep(task)
                 continue
