--- a/src/wayslip/gateway/announcements.py
+++ b/src/wayslip/gateway/announcements.py
@@ -24,24 +24,24 @@
 # The holder looks this often whether it must tell at once that it can not renew
 # or goes on without the store, seconds: each is waited for by the whole fleet,
 # which orders nothing meanwhile.
-_STANDING_SECONDS = 0.05
+_LEASE_CHECK_SECONDS = 0.05
 # Between whole statements of what is loaded, which make up for lost news.
-_WHOLE_SECONDS = 1.0
+_PLACEMENT_INTERVAL_SECONDS = 1.0
 # What a successor has to know is told this often, seconds; demand fades in 4.
-_HANDOVER_SECONDS = 1.0
+_HANDOVER_INTERVAL_SECONDS = 1.0
 # News waits for more of it, seconds for each instance, so that all of a fleet
 # hear at most some thousand datagrams a second.
 _COALESCE_SECONDS_PER_INSTANCE = 0.001
 _MAX_COALESCE_SECONDS = 0.15
 # Demand and claims told with one datagram; each takes some 40 bytes of the 30
 # KB that it may have.
-_PART = 400
+_MAX_ITEMS_PER_DATAGRAM = 400
 # Lists sent to instances that lack something and can not read it, a second; one
 # takes 25 KB at 84 endpoints, so that they take 2 Mbit/s of the holder's link.
 # An instance that gets none asks again with its next report.
 MAX_LISTS_PER_SECOND = 10
 # Changes of the list that are kept to be told again: those of some seconds.
-_CHANGES_KEPT = 20
+_MAX_CHANGES_KEPT = 20
 
 
 @dataclasses.dataclass(frozen=True)
@@ -67,17 +67,17 @@
     ) -> None:
         self._address = address
         self._accounts = accounts
-        self._told_levels: tuple[facts.Level, ...] = ()
+        self._announced_levels: tuple[facts.Level, ...] = ()
         self._detached_operation = detached_operation
         self._leadership = leadership
         self._order_sender = order_sender
         self._members = members
         self._hub = hub
-        self._whole_told = 0.0
-        self._handover_told = 0.0
-        self._told_words: set[facts.ItemUpdate] = set()
-        self._told_arrivals: set[tuple[str, str]] = set()
-        self._lists = rate.Bucket(
+        self._placement_announced_at = 0.0
+        self._handover_announced_at = 0.0
+        self._announced_updates: set[facts.ItemUpdate] = set()
+        self._announced_loads: set[tuple[str, str]] = set()
+        self._list_bucket = rate.Bucket(
             MAX_LISTS_PER_SECOND,
             MAX_LISTS_PER_SECOND,
             MAX_LISTS_PER_SECOND,
@@ -85,11 +85,13 @@
         )
         self._flush: asyncio.TimerHandle | None = None
         self._changes: collections.deque[facts.Changes] = collections.deque(
-            maxlen=_CHANGES_KEPT
+            maxlen=_MAX_CHANGES_KEPT
         )
 
     @property
-    def _books(self) -> Mapping[str, tracked_engines_module.TrackedEngine]:
+    def _tracked_engines(
+        self,
+    ) -> Mapping[str, tracked_engines_module.TrackedEngine]:
         return self._order_sender.tracked_engines
 
     def _broadcast(self, message: facts.Message) -> None:
@@ -104,23 +106,23 @@
         while True:
             if self._leadership.is_held:
                 self.announce_state(find_store_progress())
-            await self._wait_to_tell()
+            await self._wait_for_next_state()
 
-    async def _wait_to_tell(self) -> None:
+    async def _wait_for_next_state(self) -> None:
         """Waits for the next state's time, or for what all must hear now."""
         end = clock.now() + STATE_INTERVAL_SECONDS
-        told = self._find_standing()
+        announced = self._find_lease_state()
         while (left := end - clock.now()) > 0:
             if not self._leadership.is_held:
                 await asyncio.sleep(left)
                 return
-            await asyncio.sleep(min(left, _STANDING_SECONDS))
-            if self._find_standing() != told:
+            await asyncio.sleep(min(left, _LEASE_CHECK_SECONDS))
+            if self._find_lease_state() != announced:
                 return
-            if self._accounts.is_news(self._told_levels):
+            if self._accounts.is_news(self._announced_levels):
                 return
 
-    def _find_standing(self) -> tuple[bool, bool]:
+    def _find_lease_state(self) -> tuple[bool, bool]:
         """Returns whether we can not renew, and whether we go on anyway."""
         return (
             self._leadership.is_renewal_overdue,
@@ -131,7 +133,7 @@
         """Tells the load, and how far the store is followed."""
         peers = self._members.peers()
         is_detached = self._detached_operation.is_proposed
-        self._told_levels = self._accounts.list_words()
+        self._announced_levels = self._accounts.list_words()
         state = facts.State(
             term=self._leadership.seen_term,
             revision=self._leadership.revision,
@@ -143,20 +145,20 @@
             usages=tuple(self._members.total_usages().values()),
             stamp=detachment.make_stamp(clock.now()),
             is_detached=is_detached,
-            levels=self._told_levels,
+            levels=self._announced_levels,
         )
         self._hub.broadcast(
             state, [*peers, *self._detached_operation.list_missing()]
         )
         now = clock.now()
-        if now - self._whole_told >= _WHOLE_SECONDS:
-            self._whole_told = now
-            self._tell_whole()
-        if now - self._handover_told >= _HANDOVER_SECONDS:
-            self._handover_told = now
-            self._tell_handover()
+        if now - self._placement_announced_at >= _PLACEMENT_INTERVAL_SECONDS:
+            self._placement_announced_at = now
+            self._announce_placement()
+        if now - self._handover_announced_at >= _HANDOVER_INTERVAL_SECONDS:
+            self._handover_announced_at = now
+            self._announce_handover()
 
-    def _tell_handover(self) -> None:
+    def _announce_handover(self) -> None:
         term = self._leadership.seen_term
         peers = tuple((p.address, p.data_hall) for p in self._members.peers())
         claims = [
@@ -166,9 +168,14 @@
         rates = self._members.list_rates()
         readings = self._members.list_readings()
         self._broadcast(facts.Handover(term, peers, (), (), readings))
-        for i in range(0, max(len(claims), len(rates)), _PART):
+        for i in range(
+            0, max(len(claims), len(rates)), _MAX_ITEMS_PER_DATAGRAM
+        ):
             part = facts.Handover(
-                term, (), tuple(claims[i : i + _PART]), rates[i : i + _PART]
+                term,
+                (),
+                tuple(claims[i : i + _MAX_ITEMS_PER_DATAGRAM]),
+                rates[i : i + _MAX_ITEMS_PER_DATAGRAM],
             )
             self._broadcast(part)
 
@@ -185,26 +192,32 @@
             count * _COALESCE_SECONDS_PER_INSTANCE, _MAX_COALESCE_SECONDS
         )
         loop = asyncio.get_running_loop()
-        self._flush = loop.call_later(delay, self._tell_news)
+        self._flush = loop.call_later(delay, self._announce_pending_changes)
 
-    def _tell_news(self) -> None:
+    def _announce_pending_changes(self) -> None:
         self._flush = None
         if not self._leadership.is_held:
             return
         now = clock.now()
-        words = self._list_words(now)
-        pending_loads = self._list_arrivals(now)
+        updates = self._list_updates(now)
+        pending_loads = self._list_pending_loads(now)
         # The seconds that are left change all the time and are no news.
-        fresh = tuple(w for w in words if _identify(w) not in self._told_words)
-        coming = tuple(
+        new_updates = tuple(
+            w
+            for w in updates
+            if _drop_seconds(w) not in self._announced_updates
+        )
+        new_loads = tuple(
             a
             for a in pending_loads
-            if (a.endpoint, a.model) not in self._told_arrivals
+            if (a.endpoint, a.model) not in self._announced_loads
         )
-        self._remember(words, pending_loads)
-        if fresh or coming:
+        self._record_announced(updates, pending_loads)
+        if new_updates or new_loads:
             term = self._leadership.seen_term
-            self._broadcast(facts.PlacementUpdate(term, False, fresh, coming))
+            self._broadcast(
+                facts.PlacementUpdate(term, False, new_updates, new_loads)
+            )
 
     def announce_to(
         self,
@@ -217,49 +230,51 @@
             return
         now = clock.now()
         seconds = max(tracked_engine.added.get(item, now) - now, 0.0)
-        word = facts.ItemUpdate(
+        update = facts.ItemUpdate(
             tracked_engine.endpoint.name, *item, True, round(seconds, 3)
         )
-        news = facts.PlacementUpdate(
-            self._leadership.seen_term, False, (word,), ()
+        message = facts.PlacementUpdate(
+            self._leadership.seen_term, False, (update,), ()
         )
         for address in addresses:
-            self._hub.send(news, address)
+            self._hub.send(message, address)
 
-    def _tell_whole(self) -> None:
+    def _announce_placement(self) -> None:
         now = clock.now()
-        words = self._list_words(now)
-        pending_loads = self._list_arrivals(now)
-        self._remember(words, pending_loads)
+        updates = self._list_updates(now)
+        pending_loads = self._list_pending_loads(now)
+        self._record_announced(updates, pending_loads)
         term = self._leadership.seen_term
         self._broadcast(
             facts.PlacementUpdate(
-                term, True, tuple(words), tuple(pending_loads)
+                term, True, tuple(updates), tuple(pending_loads)
             )
         )
 
-    def _remember(
+    def _record_announced(
         self,
-        words: list[facts.ItemUpdate],
+        updates: list[facts.ItemUpdate],
         pending_loads: list[facts.PendingLoad],
     ) -> None:
-        self._told_words = {_identify(w) for w in words}
-        self._told_arrivals = {(a.endpoint, a.model) for a in pending_loads}
+        self._announced_updates = {_drop_seconds(w) for w in updates}
+        self._announced_loads = {(a.endpoint, a.model) for a in pending_loads}
 
-    def _list_words(self, now: float) -> list[facts.ItemUpdate]:
-        words = []
-        for name, tracked_engine in self._books.items():
+    def _list_updates(self, now: float) -> list[facts.ItemUpdate]:
+        updates = []
+        for name, tracked_engine in self._tracked_engines.items():
             for model, adapter in sorted(tracked_engine.withdrawn):
-                words.append(facts.ItemUpdate(name, model, adapter, False, 0.0))
+                updates.append(
+                    facts.ItemUpdate(name, model, adapter, False, 0.0)
+                )
             listed = tracked_engine.listed()
             for item in sorted(tracked_engine.usable() - listed):
                 seconds = max(tracked_engine.added.get(item, now) - now, 0.0)
-                words.append(
+                updates.append(
                     facts.ItemUpdate(name, *item, True, round(seconds, 3))
                 )
-        return words
+        return updates
 
-    def _list_arrivals(self, now: float) -> list[facts.PendingLoad]:
+    def _list_pending_loads(self, now: float) -> list[facts.PendingLoad]:
         return [
             facts.PendingLoad(
                 tracked_engine.endpoint.name,
@@ -268,7 +283,7 @@
                 round(max(at - now, 0.0), 2),
                 (model, "") in tracked_engine.charged(),
             )
-            for tracked_engine in self._books.values()
+            for tracked_engine in self._tracked_engines.values()
             for model, at in tracked_engine.ready_at.items()
         ]
 
@@ -278,10 +293,10 @@
         """Tells what changed in the platform's list."""
         if self._leadership.is_held:
             term = self._leadership.seen_term
-            told = dataclasses.replace(changes, term=term)
-            if told.revision:
-                self._changes.append(told)
-            self._broadcast(told)
+            announced = dataclasses.replace(changes, term=term)
+            if announced.revision:
+                self._changes.append(announced)
+            self._broadcast(announced)
 
     def repeat_changes(
         self, missing: facts.Missing, source: hub_module.Address
@@ -296,15 +311,15 @@
         self, parts: list[facts.Changes], source: hub_module.Address
     ) -> None:
         """Sends the list to an instance that lacks it, within the limit."""
-        left = self._lists.take(clock.now())
+        left = self._list_bucket.take(clock.now())
         if left is None:
             return
-        self._lists = left
+        self._list_bucket = left
         term = self._leadership.seen_term
         for part in parts:
             self._hub.send(dataclasses.replace(part, term=term), source)
 
 
-def _identify(word: facts.ItemUpdate) -> facts.ItemUpdate:
+def _drop_seconds(update: facts.ItemUpdate) -> facts.ItemUpdate:
     """Returns a word without the seconds that are left."""
-    return dataclasses.replace(word, seconds=0.0)
+    return dataclasses.replace(update, seconds=0.0)
--- a/src/wayslip/gateway/configuration_sync.py
+++ b/src/wayslip/gateway/configuration_sync.py
@@ -51,7 +51,7 @@
         members: members_module.Members,
         find_pause: Callable[[float], float],
         metrics: metrics_module.Metrics,
-        on_own: Callable[[], None],
+        on_new_configuration: Callable[[], None],
     ) -> None:
         """Initializes without a configuration.
 
@@ -67,15 +67,16 @@
             members: Know where the other instances are.
             find_pause: See `watcher.Watcher`.
             metrics: Where reads and copies are counted.
-            on_own: Called once a newer one that we read is in force.
+            on_new_configuration: Called when this instance has read a newer
+                configuration from the store and put it in force.
         """
         self._name = name
         self._holder = holder
-        self._on_own = on_own
+        self._on_new_configuration = on_new_configuration
         # The version that the store has, as last read.
         self._read_version = 0
         # Until then the store may lack what it came back without.
-        self._rewritten_at = float("-inf")
+        self._may_lack_until = float("-inf")
         store.on_return(self._note_return)
         self.distribution = distribution_module.Distribution(
             options,
@@ -93,12 +94,12 @@
                 lambda: leadership.is_held,
                 self._obtain,
             ),
-            self._take_list,
-            self._take_changes,
+            self._apply_list,
+            self._apply_changes,
             options.bounds.watch,
             find_pause,
             metrics,
-            lists_anew=True,
+            relists_after_gap=True,
             on_read=self._note_read,
         )
         self.confirmations = confirmations.Confirmations(
@@ -107,7 +108,7 @@
             hub,
             lambda: leadership.holder_address,
             members.list_addresses,
-            self._take_word,
+            self._apply_peer_version,
             self.watcher.read_now,
         )
 
@@ -122,21 +123,21 @@
     @property
     def _may_lack(self) -> bool:
         """Whether the store may lack a configuration that it has lost."""
-        return clock.now() < self._rewritten_at
+        return clock.now() < self._may_lack_until
 
     def _note_return(self) -> None:
-        self._rewritten_at = clock.now() + _REWRITE_SECONDS
+        self._may_lack_until = clock.now() + _REWRITE_SECONDS
 
     @property
     def progress(self) -> facts.WatchProgress:
         """How far it is followed, as the lease's holder tells it."""
         return facts.WatchProgress(self._holder.version or 0, self.watcher.age)
 
-    def apply_update(self, told: facts.WatchProgress) -> None:
+    def apply_update(self, announced: facts.WatchProgress) -> None:
         """Takes in how far the lease's holder follows it."""
-        self._take_word(told.revision, told.age)
+        self._apply_peer_version(announced.revision, announced.age)
 
-    def _take_word(self, version: int, age: float) -> None:
+    def _apply_peer_version(self, version: int, age: float) -> None:
         """Takes in which version another instance has as the newest."""
         self.distribution.note_announcement(version)
         self.watcher.staleness.note_announcement(
@@ -151,24 +152,24 @@
 
     # From the store
 
-    def _take_list(
+    def _apply_list(
         self, listing: store_module.Listing[manifest.Manifest]
     ) -> None:
         for item in listing.items:
             if item.name == self._name:
-                self._take(item.value)
+                self._apply(item.value)
 
-    def _take_changes(
+    def _apply_changes(
         self, changes: store_module.Changes[manifest.Manifest]
     ) -> None:
         for change in changes.items:
             if change.name == self._name and change.value is not None:
-                self._take(change.value)
+                self._apply(change.value)
 
-    def _take(self, value: manifest.Manifest) -> None:
+    def _apply(self, value: manifest.Manifest) -> None:
         self._read_version = value.version
         if self._holder.offer(value):
-            self._on_own()
+            self._on_new_configuration()
 
     def _note_read(self, asked_at: float, refused: Set[str]) -> None:
         """Notes a read of the store, unless it proves nothing.
--- a/src/wayslip/gateway/confirmations.py
+++ b/src/wayslip/gateway/confirmations.py
@@ -26,12 +26,12 @@
 _LOG = logging.getLogger(__name__)
 # Between looks whether a confirmation is due, and between attempts to get one,
 # seconds: an answer takes 10 ms, and seven attempts fit before it is too late.
-_LOOK_SECONDS = 0.25
+_CHECK_SECONDS = 0.25
 # Attempts at the lease's holder alone before other instances are asked too.
 _ATTEMPTS_AT_HOLDER = 1
 _PEERS_ASKED = 2
 # Questions whose answers are still taken; later ones prove nothing newer.
-_OPEN_MOST = 20
+_MAX_OPEN_REQUESTS = 20
 # Share of the bound at which the store is read without waiting for others.
 _READ_SHARE = 0.55
 
@@ -72,8 +72,8 @@
         self._list_peers = list_peers
         self._on_confirmed = on_confirmed
         self._read = read
-        self._open: collections.deque[int] = collections.deque(
-            maxlen=_OPEN_MOST
+        self._open_stamps: collections.deque[int] = collections.deque(
+            maxlen=_MAX_OPEN_REQUESTS
         )
         self._attempts = 0
         self._rng = random.Random()
@@ -106,7 +106,7 @@
     async def run(self) -> None:
         """Asks for confirmations as they become due, for ever."""
         while True:
-            await asyncio.sleep(_LOOK_SECONDS * self._rng.uniform(0.8, 1.2))
+            await asyncio.sleep(_CHECK_SECONDS * self._rng.uniform(0.8, 1.2))
             now = clock.now()
             if not self._update().is_due(now):
                 self._attempts = 0
@@ -114,11 +114,11 @@
             self._ask(now)
             bound = self.freshness.bound or 0.0
             if now - self.freshness.proven_at > bound * _READ_SHARE:
-                await self._look()
+                await self._read_store()
 
     def _ask(self, now: float) -> None:
         stamp = detachment.make_stamp(now)
-        self._open.append(stamp)
+        self._open_stamps.append(stamp)
         self._attempts += 1
         for address in self._choose():
             self._hub.send(
@@ -136,7 +136,7 @@
         count = min(_PEERS_ASKED, len(others))
         return chosen + self._rng.sample(others, count)
 
-    async def _look(self) -> None:
+    async def _read_store(self) -> None:
         """Reads the store: nobody has confirmed what we hold for too long."""
         try:
             await self._read()
@@ -165,7 +165,7 @@
 
     def apply_answer(self, message: facts.Confirmed) -> None:
         """Takes an answer in; its age counts from when we asked."""
-        if message.stamp not in self._open:
+        if message.stamp not in self._open_stamps:
             return
         at = detachment.read_stamp(message.stamp) - message.age
         self.freshness = self._update().confirm(message.version, at)
--- a/src/wayslip/gateway/copy_client.py
+++ b/src/wayslip/gateway/copy_client.py
@@ -15,7 +15,7 @@
 _HEAD_SECONDS = 0.4
 # Silence in the midst of a copy, seconds: a lost packet or two.
 _STALL_SECONDS = 0.5
-_COPY_SECONDS_MOST = 2.0
+_MAX_COPY_SECONDS = 2.0
 
 
 class CopyClient(Protocol):
@@ -39,7 +39,7 @@
     async def fetch(self, address: tuple[str, int], version: int) -> bytes:
         """Returns a copy, nothing if there is none to be had."""
         connection = await client.connect(address, _CONNECT_SECONDS)
-        reader = whole.WholeReader(_STALL_SECONDS, _COPY_SECONDS_MOST)
+        reader = whole.WholeReader(_STALL_SECONDS, _MAX_COPY_SECONDS)
         request = (
             f"GET {PATH}?newer_than={version} HTTP/1.1\r\n"
             f"host: {address[0]}:{address[1]}\r\nconnection: close\r\n\r\n"
--- a/src/wayslip/gateway/daemon.py
+++ b/src/wayslip/gateway/daemon.py
@@ -49,11 +49,11 @@
 # until then new connections still come, seconds.
 _BALANCER_SECONDS = 3.0
 # Left of the grace time for breaking off what did not end, seconds.
-_LAST_SECONDS = 0.4
-_STOP_STEP = 0.1
+_ABORT_SECONDS = 0.4
+_STOP_POLL_SECONDS = 0.1
 # A change of the list may still be on its way, after the word that it exists;
 # what is this late was lost, and is asked for again, seconds.
-_BEHIND_SECONDS = 0.12
+_LATE_CHANGE_SECONDS = 0.12
 # How long the holder's answer to that may take, seconds: two trips and a lost
 # packet's turn on a link that is full.
 _ANSWER_SECONDS = 0.2
@@ -184,7 +184,7 @@
             members,
             self._find_pause,
             self.metrics,
-            self._tell_own_configuration,
+            self._announce_own_configuration,
         )
         self._endpoints = endpoint_follower.EndpointFollower(
             platform.store,
@@ -239,13 +239,13 @@
         away; the others and the planner are to know it as soon.
         """
         if self.view.note_leaving(endpoint.start, self._options.name):
-            told = facts.Leaving(endpoint.name, endpoint.born)
-            self._peer_broadcast.broadcast(told)
+            message = facts.Leaving(endpoint.name, endpoint.born)
+            self._peer_broadcast.broadcast(message)
             self._placement.notify()
 
     async def _obtain_changes(self) -> None:
         """Waits for changes of the list that are late, then asks for them."""
-        await asyncio.sleep(_BEHIND_SECONDS)
+        await asyncio.sleep(_LATE_CHANGE_SECONDS)
         if not self._endpoints.watcher.staleness.is_behind:
             return
         self._ask_for_changes()
@@ -323,14 +323,14 @@
             # Says that nobody plans now, so that another instance begins
             # before it would find that out.
             self._announcer.announce_state(self._find_store_progress())
-        limit = began + self._options.bounds.grace - _LAST_SECONDS
+        limit = began + self._options.bounds.grace - _ABORT_SECONDS
         while clock.now() < limit:
             if clock.now() - began >= _BALANCER_SECONDS:
                 self._callers.stop_listening()
                 self._callers.close_idle()
                 if not self._callers.active:
                     break
-            await asyncio.sleep(_STOP_STEP)
+            await asyncio.sleep(_STOP_POLL_SECONDS)
         logs.event(
             _LOG,
             "stopped",
@@ -346,7 +346,7 @@
 
     # Configuration, lease and peers
 
-    def _tell_own_configuration(self) -> None:
+    def _announce_own_configuration(self) -> None:
         """Tells of a configuration that we read, if we lead, at once.
 
         With the next state it would be heard of up to 0.25 s later.
@@ -413,9 +413,9 @@
         if state.term < self.leadership.seen_term:
             return
         self._configuration_sync.apply_update(state.configuration)
-        told = state.endpoints
+        progress = state.endpoints
         self._endpoints.watcher.staleness.note_announcement(
-            told.age, self._endpoints.has(told.revision)
+            progress.age, self._endpoints.has_applied(progress.revision)
         )
 
     # Answers to the balancer and to operators
@@ -438,7 +438,7 @@
             "instance": self._options.name,
             "ready": self.is_ready(),
             "configuration": self.holder.version,
-            "configuration_told": self._configuration_sync.distribution.told,
+            "configuration_told": self._configuration_sync.distribution.newest,
             "lease": self.leadership.sight,
             "holds_lease": self.leadership.is_valid,
             "endpoints": self.view.dump(),
--- a/src/wayslip/gateway/distribution.py
+++ b/src/wayslip/gateway/distribution.py
@@ -26,16 +26,16 @@
 _LOG = logging.getLogger(__name__)
 # Between two instances that are asked, seconds: a copy of 0.07 MB takes 0.11 s
 # of a link of 5 Mbit/s, after which one instance more has it.
-_LEAST_PAUSE = 0.03
-_LONGEST_PAUSE = 0.12
-_CONTENT = ((b"content-type", b"application/octet-stream"),)
+_MIN_PAUSE_SECONDS = 0.03
+_MAX_PAUSE_SECONDS = 0.12
+_COPY_HEADERS = ((b"content-type", b"application/octet-stream"),)
 
 
 class Distribution:
     """What an instance knows of the newest configuration, and has of it.
 
     Attributes:
-        told: The newest version that any holder told of.
+        newest: The newest version that any holder told of.
     """
 
     def __init__(
@@ -67,7 +67,7 @@
         self._snapshot: tuple[int, bytes] = (0, b"")
         self._link_free_at = 0.0
         self._rng = random.Random()
-        self.told = 0
+        self.newest = 0
 
     @property
     def _version(self) -> int:
@@ -76,11 +76,11 @@
     @property
     def is_behind(self) -> bool:
         """Whether a newer version is known to exist."""
-        return self._version < self.told
+        return self._version < self.newest
 
     def note_announcement(self, version: int) -> None:
         """Takes in which version the lease's holder has."""
-        self.told = max(self.told, version)
+        self.newest = max(self.newest, version)
 
     # Asking
 
@@ -99,7 +99,9 @@
                 # The next change may have come while a copy was on its way.
                 end = clock.now() + self._options.bounds.copies
             else:
-                pause = self._rng.uniform(_LEAST_PAUSE, _LONGEST_PAUSE)
+                pause = self._rng.uniform(
+                    _MIN_PAUSE_SECONDS, _MAX_PAUSE_SECONDS
+                )
                 await asyncio.sleep(pause)
 
     def _choose(self) -> tuple[str, int] | None:
@@ -124,7 +126,7 @@
         try:
             data = await self._client.fetch(address, before)
             if data:
-                outcome = "taken" if self._take(data) else "old"
+                outcome = "taken" if self._apply(data) else "old"
         except (errors.EndpointError, errors.FrameError) as e:
             outcome = "failed"
             logs.event(
@@ -143,13 +145,13 @@
             outcome=outcome,
             before=before,
             version=self._version,
-            told=self.told,
+            told=self.newest,
             bytes=len(data),
             seconds=f"{clock.now() - began:.3f}",
         )
         return outcome == "taken"
 
-    def _take(self, data: bytes) -> bool:
+    def _apply(self, data: bytes) -> bool:
         manifest = snapshots.decode(data)
         if not self._holder.offer(manifest):
             return False
@@ -171,7 +173,7 @@
         elif not data:
             exchange.answer(503, (), b"")
         else:
-            exchange.answer(200, _CONTENT, data)
+            exchange.answer(200, _COPY_HEADERS, data)
 
     def serve_copy(self, known: int) -> bytes | None:
         """Returns a copy for an instance that has a version.
--- a/src/wayslip/gateway/endpoint_follower.py
+++ b/src/wayslip/gateway/endpoint_follower.py
@@ -32,25 +32,25 @@
 
 _LOG = logging.getLogger(__name__)
 # An entry that lapsed is back within about two seconds of the store's return.
-_RETURN_SECONDS = 2.0
+_RELIST_SECONDS = 2.0
 # Engines' entries change with every adapter; a leaving endpoint is heard of
 # this much later, of two seconds that are allowed.
-_REST_SECONDS = 0.25
+_PAUSE_AFTER_CHANGES_SECONDS = 0.25
 # An entry goes after three heartbeats of silence; that is told a moment later,
 # seconds.
 _LAPSE_SECONDS = 6.0
-_DEPARTED_MOST = 1000
+_MAX_DEPARTED = 1000
 # For so long after an outage a missing entry may have lapsed in it, seconds.
-_AFTERMATH_SECONDS = 3.0
+_OUTAGE_GRACE_SECONDS = 3.0
 # Entries told with one datagram; each takes 0.3 KB of the 30 KB it may have.
-_ENTRIES_MOST = 60
+_MAX_ENTRIES_PER_DATAGRAM = 60
 
 
 class EndpointFollower:
     """Keeps the view in line with the list.
 
     Args:
-        tell: Is given what changed; it is told to the others if we lead.
+        announce: Is given what changed; it is told to the others if we lead.
         knows_service: Whether the configuration in force names a service.
     """
 
@@ -62,7 +62,7 @@
         view: view_module.EndpointView,
         on_change: Callable[[], None],
         on_gone: Callable[[str], None],
-        tell: Callable[[facts.Changes], None],
+        announce: Callable[[facts.Changes], None],
         wait: float,
         find_pause: Callable[[float], float],
         metrics: metrics_module.Metrics,
@@ -72,11 +72,11 @@
         self._knows_service = knows_service
         self._on_change = on_change
         self._on_gone = on_gone
-        self._tell = tell
+        self._announce = announce
         self._listed: set[str] = set()
         # Endpoints that have ended though they are listed; bounded by those.
         self._replaced: set[str] = set()
-        self._outage_ended = -_AFTERMATH_SECONDS
+        self._outage_ended = -_OUTAGE_GRACE_SECONDS
         # Endpoints that left the list, as last known; the oldest are forgotten.
         self._departed: collections.OrderedDict[str, fleet.Endpoint] = (
             collections.OrderedDict()
@@ -91,36 +91,38 @@
             store,
             kind,
             staleness,
-            self._take_list,
-            self._take_changes,
+            self._apply_list,
+            self._apply_changes,
             wait,
             find_pause,
             metrics,
-            _REST_SECONDS,
+            _PAUSE_AFTER_CHANGES_SECONDS,
         )
 
     # From the store
 
-    def _take_list(self, listing: store_module.Listing[fleet.Endpoint]) -> None:
+    def _apply_list(
+        self, listing: store_module.Listing[fleet.Endpoint]
+    ) -> None:
         found = [item.value for item in listing.items]
         self._note_outage()
         # What a copy lacks is written again, as after an outage.
-        is_of_a_copy = self._is_of_a_copy(listing.revision)
-        may_return = is_of_a_copy or self._may_have_lapsed()
-        if is_of_a_copy:
+        is_from_later_era = self._is_from_later_era(listing.revision)
+        may_return = is_from_later_era or self._may_have_lapsed()
+        if is_from_later_era:
             found = self._withhold_departed(found)
         self._listed = {e.name for e in found}
         self._replaced &= self._listed
-        self._take_all(found)
+        self._add_to_view(found)
         # One that has time to come back keeps it, though it is missing still.
         present = self._listed | self._lapsed
         missing = [n for n in self._view.tracked if n not in present]
         # A whole list follows on whatever was known before.
         self._announce_changes(0, listing.revision, found, missing, may_return)
-        self._miss_all(missing, may_return)
+        self._remove_missing(missing, may_return)
         self._on_change()
 
-    def _take_changes(
+    def _apply_changes(
         self, changes: store_module.Changes[fleet.Endpoint]
     ) -> None:
         newest = {c.name: c.value for c in changes.items}
@@ -131,31 +133,31 @@
         self._announce_changes(
             self.changed_at, changes.revision, found, missing, may_return
         )
-        self._take_entries(found)
+        self._apply_entries(found)
         for name in missing:
             self._forget(name)
-        self._miss_all(missing, may_return)
+        self._remove_missing(missing, may_return)
         self._on_change()
 
-    def _take_entries(self, found: list[fleet.Endpoint]) -> None:
+    def _apply_entries(self, found: list[fleet.Endpoint]) -> None:
         self._listed.update(e.name for e in found)
         for endpoint in found:
             self._withheld.pop(endpoint.name, None)
-        self._take_all(found)
+        self._add_to_view(found)
 
-    def _take_all(self, endpoints: list[fleet.Endpoint]) -> None:
+    def _add_to_view(self, endpoints: list[fleet.Endpoint]) -> None:
         """Takes entries into the view, and out what they replace."""
         known = {t.endpoint.address: n for n, t in self._view.tracked.items()}
-        fresh = [e for e in endpoints if e.name not in self._replaced]
-        for endpoint in fresh:
+        current = [e for e in endpoints if e.name not in self._replaced]
+        for endpoint in current:
             before = known.get(endpoint.address, endpoint.name)
             is_new = endpoint.name not in self._view.tracked
             # Another writer's entry may name any address.
-            is_ours = self._knows_service(endpoint.service)
-            if is_new and is_ours and before != endpoint.name:
+            is_configured = self._knows_service(endpoint.service)
+            if is_new and is_configured and before != endpoint.name:
                 self._replaced.add(before)
                 self._remove(before)
-        for endpoint in fresh:
+        for endpoint in current:
             tracked = self._view.tracked.get(endpoint.name)
             if tracked is not None and endpoint.succeeds(tracked.endpoint):
                 # Connections to the start before say nothing more.
@@ -170,7 +172,7 @@
 
     # A store that came back from a copy
 
-    def _is_of_a_copy(self, revision: int) -> bool:
+    def _is_from_later_era(self, revision: int) -> bool:
         """Whether a list is of a later era than what was known."""
         known = self.watcher.revision
         if known is None:
@@ -196,16 +198,16 @@
             self._withheld.update(withheld)
             logs.event(_LOG, "entries_withheld", entries=",".join(withheld))
             loop = asyncio.get_running_loop()
-            loop.call_later(_LAPSE_SECONDS, self._take_withheld)
+            loop.call_later(_LAPSE_SECONDS, self._release_withheld)
         return [e for e in found if e.name not in withheld]
 
-    def _take_withheld(self) -> None:
+    def _release_withheld(self) -> None:
         found = list(self._withheld.values())
         self._withheld.clear()
         if found:
             for part in _split(found):
-                self._tell(facts.Changes(0, 0, 0, part))
-            self._take_entries(found)
+                self._announce(facts.Changes(0, 0, 0, part))
+            self._apply_entries(found)
             self._on_change()
 
     def _announce_changes(
@@ -218,13 +220,13 @@
     ) -> None:
         parts = _split(found)
         for part in parts[:-1]:
-            self._tell(facts.Changes(0, 0, 0, part))
+            self._announce(facts.Changes(0, 0, 0, part))
         if len(parts) > 1:
             # A part may get lost without anybody seeing it. So these follow
             # on nothing, and whoever can reads the list.
             since = revision
         self.changed_at = max(self.changed_at, revision)
-        self._tell(
+        self._announce(
             facts.Changes(
                 term=0,
                 since=since,
@@ -237,37 +239,45 @@
 
     # From and to other instances
 
-    def apply_update(self, told: facts.Changes) -> None:
+    def apply_update(self, changes: facts.Changes) -> None:
         """Takes in what the holder tells of the list."""
         revision = self.watcher.revision
-        if told.revision and revision is not None and revision >= told.revision:
+        if (
+            changes.revision
+            and revision is not None
+            and revision >= changes.revision
+        ):
             logs.event(
                 _LOG,
                 "told_list_is_old",
-                logging.DEBUG if revision == told.revision else logging.INFO,
-                told=told.revision,
+                logging.DEBUG if revision == changes.revision else logging.INFO,
+                told=changes.revision,
                 known=revision,
-                term=told.term,
-                entries=len(told.listed),
+                term=changes.term,
+                entries=len(changes.listed),
             )
             return
-        found = [listed.restore() for listed in told.listed]
-        if self._is_of_a_copy(told.revision):
+        found = [listed.restore() for listed in changes.listed]
+        if self._is_from_later_era(changes.revision):
             found = self._withhold_departed(found)
         self._listed.update(e.name for e in found)
-        self._take_all(found)
-        for name in told.gone:
+        self._add_to_view(found)
+        for name in changes.gone:
             self._forget(name)
             self._remove(name)
-        for name in told.lapsed:
+        for name in changes.lapsed:
             self._forget(name)
             self._remove_later(name)
-        if told.names:
-            self._keep_only(told.names)
+        if changes.names:
+            self._keep_only(changes.names)
         # One that was missed shows in what the holder says of its revision.
-        if revision is not None and revision >= told.since and told.revision:
-            self.watcher.revision = told.revision
-            self.changed_at = max(self.changed_at, told.revision)
+        if (
+            revision is not None
+            and revision >= changes.since
+            and changes.revision
+        ):
+            self.watcher.revision = changes.revision
+            self.changed_at = max(self.changed_at, changes.revision)
         self._on_change()
 
     def _keep_only(self, names: tuple[str, ...]) -> None:
@@ -275,7 +285,7 @@
             self._forget(name)
             self._remove(name)
 
-    def has(self, revision: int) -> bool:
+    def has_applied(self, revision: int) -> bool:
         """Whether all changes up to a revision were taken in."""
         return (self.watcher.revision or 0) >= revision
 
@@ -303,9 +313,9 @@
             self._outage_ended = clock.now()
 
     def _may_have_lapsed(self) -> bool:
-        return clock.now() - self._outage_ended < _AFTERMATH_SECONDS
+        return clock.now() - self._outage_ended < _OUTAGE_GRACE_SECONDS
 
-    def _miss_all(self, names: list[str], may_return: bool) -> None:
+    def _remove_missing(self, names: list[str], may_return: bool) -> None:
         """Takes endpoints out, now or when they had time to come back."""
         for name in names:
             if may_return:
@@ -316,7 +326,7 @@
     def _remove_later(self, name: str) -> None:
         self._lapsed.add(name)
         loop = asyncio.get_running_loop()
-        loop.call_later(_RETURN_SECONDS, self._remove_if_missing, name)
+        loop.call_later(_RELIST_SECONDS, self._remove_if_missing, name)
 
     def _remove_if_missing(self, name: str) -> None:
         self._lapsed.discard(name)
@@ -328,7 +338,7 @@
         tracked = self._view.tracked.get(name)
         if tracked is not None:
             self._departed[name] = tracked.endpoint
-            if len(self._departed) > _DEPARTED_MOST:
+            if len(self._departed) > _MAX_DEPARTED:
                 self._departed.popitem(last=False)
         self._view.remove(name)
         self._on_gone(name)
@@ -337,6 +347,9 @@
 def _split(endpoints: list[fleet.Endpoint]) -> list[tuple[facts.Listed, ...]]:
     """Returns entries in parts, at least one, that fit into a datagram."""
     return [
-        tuple(facts.Listed.of(e) for e in endpoints[i : i + _ENTRIES_MOST])
-        for i in range(0, max(len(endpoints), 1), _ENTRIES_MOST)
+        tuple(
+            facts.Listed.of(e)
+            for e in endpoints[i : i + _MAX_ENTRIES_PER_DATAGRAM]
+        )
+        for i in range(0, max(len(endpoints), 1), _MAX_ENTRIES_PER_DATAGRAM)
     ]
--- a/src/wayslip/gateway/hub.py
+++ b/src/wayslip/gateway/hub.py
@@ -51,14 +51,14 @@
         try:
             message = datagrams.decode(data)
             if isinstance(message, facts.Relay):
-                self._pass_on(message)
+                self._forward(message)
                 message = datagrams.decode(message.payload)
         except (errors.FrameError, ValueError) as e:
             logs.event(_LOG, "datagram_dropped", logging.WARNING, reason=str(e))
             return
         self._handler(message, addr)
 
-    def _pass_on(self, message: facts.Relay) -> None:
+    def _forward(self, message: facts.Relay) -> None:
         for other in message.recipients:
             self._send(message.payload, addresses.split_address(other))
 
--- a/src/wayslip/gateway/members.py
+++ b/src/wayslip/gateway/members.py
@@ -20,7 +20,7 @@
 
 # How fast older requests fade from the demand, seconds: long enough that a
 # model asked for every few seconds is remembered until it is loaded.
-_FADING = 4.0
+_DECAY_SECONDS = 4.0
 # What a request that found its model nowhere adds to the gain of loading it,
 # requests, until one finds it. Rare models must be served too, however slowly
 # requests for them come: the sixth or so brings about a load from the weight
@@ -28,7 +28,7 @@
 _MISS_GAIN = 0.5
 _LATE_MISS_GAIN = 1.5
 _FIRST_MISSES = 4
-_MISS_MOST = 20.0
+_MAX_UNSERVED_GAIN = 20.0
 # A request whose client can wait for a load counts for so many misses more,
 # since the load that it brings about can serve it. In trials two more cost
 # busier models more than they served.
@@ -47,7 +47,7 @@
     peer: fanout.Peer
     process: str
     number: int
-    heard: float
+    received_at: float
     usages: tuple[facts.Usage, ...]
     echo: tuple[int, float] = (0, 0.0)
     is_cut_off: bool = False
@@ -71,14 +71,16 @@
         self._announced_peers: tuple[fanout.Peer, ...] = ()
         # Instances that fell silent without a word, and since when.
         self._missing: dict[fanout.Peer, float] = {}
-        self._models: demand.Rates[tuple[str, str]] = demand.Rates(_FADING)
-        self._work: demand.Rates[tuple[str, str]] = demand.Rates(_FADING)
+        self._models: demand.Rates[tuple[str, str]] = demand.Rates(
+            _DECAY_SECONDS
+        )
+        self._work: demand.Rates[tuple[str, str]] = demand.Rates(_DECAY_SECONDS)
         self._misses: dict[tuple[str, str], int] = {}
         self._missed_at: dict[tuple[str, str], float] = {}
         # When our term began.
-        self._met = 0.0
+        self._term_began = 0.0
         self._adapters: demand.Rates[tuple[str, str, str]] = demand.Rates(
-            _FADING
+            _DECAY_SECONDS
         )
 
     def take(
@@ -128,13 +130,13 @@
             self._readings.note(sample.model, sample.rate)
 
     def note_sender(
-        self, want: facts.ItemRequest, source: hub_module.Address
+        self, request: facts.ItemRequest, source: hub_module.Address
     ) -> None:
         """Takes in where an instance hears us before its first report."""
-        if want.instance not in self._members:
-            peer = _make_peer(source, want.data_hall)
+        if request.instance not in self._members:
+            peer = _make_peer(source, request.data_hall)
             now = clock.now()
-            self._members[want.instance] = _Member(peer, "", 0, now, ())
+            self._members[request.instance] = _Member(peer, "", 0, now, ())
 
     def adopt_readings(self, readings: tuple[facts.Reading, ...]) -> None:
         """Takes over what the holder learned from all samples."""
@@ -226,7 +228,7 @@
         count = self._misses.get((service, model), 0)
         late = max(count - _FIRST_MISSES, 0)
         gain = (count - late) * _MISS_GAIN + late * _LATE_MISS_GAIN
-        return min(gain, _MISS_MOST)
+        return min(gain, _MAX_UNSERVED_GAIN)
 
     def work(self, service: str, model: str) -> float:
         """Returns the seconds a second that a model's prompts take to read."""
@@ -269,14 +271,14 @@
         """
         now = clock.now()
         for name, member in list(self._members.items()):
-            if now - member.heard > _SILENCE_SECONDS:
+            if now - member.received_at > _SILENCE_SECONDS:
                 del self._members[name]
                 if member.is_leaving:
                     self._missing.pop(member.peer, None)
                 else:
                     self._missing.setdefault(member.peer, now)
         found = [m.peer for m in self._members.values()]
-        if now - self._met >= _SILENCE_SECONDS:
+        if now - self._term_began >= _SILENCE_SECONDS:
             return found or list(self._announced_peers)
         # Just after the lease was taken not everybody has found us yet.
         return list({*found, *self._announced_peers})
@@ -320,8 +322,8 @@
     def begin(self) -> None:
         """Begins a term: forgets reports of an earlier one, not the demand."""
         self._members.clear()
-        self._met = clock.now()
-        self._missing = dict.fromkeys(self._announced_peers, self._met)
+        self._term_began = clock.now()
+        self._missing = dict.fromkeys(self._announced_peers, self._term_began)
 
 
 def _make_peer(source: hub_module.Address, data_hall: str) -> fanout.Peer:
--- a/src/wayslip/gateway/options.py
+++ b/src/wayslip/gateway/options.py
@@ -12,7 +12,7 @@
 # lease holder's watch waits, and how old its word may get. What is left is
 # for an instance to read for itself.
 _WATCH_SHARE = 0.3
-_WORD_SHARE = 0.65
+_STALENESS_SHARE = 0.65
 # Share for which an instance that lacks a change asks others for it. Of 3 s
 # that leaves 2.2 s to read the store; 1 MB takes 1.7 s of a link of 5 Mbit/s.
 _COPIES_SHARE = 0.25
@@ -56,7 +56,7 @@
     @property
     def max_staleness(self) -> float:
         """How old the lease holder's word of the store may get."""
-        return self.config_apply * _WORD_SHARE
+        return self.config_apply * _STALENESS_SHARE
 
     @property
     def copies(self) -> float:
--- a/src/wayslip/gateway/placement.py
+++ b/src/wayslip/gateway/placement.py
@@ -25,21 +25,21 @@
 _LOG = logging.getLogger(__name__)
 # Between reports to the holder, seconds. Load moves by a few requests in this
 # time; a report takes some 200 bytes.
-_REPORT_SECONDS = 0.25
+_REPORT_INTERVAL_SECONDS = 0.25
 # Reports that the holder takes a second, from all instances; each costs it
 # about 0.1 ms. A fleet that would send more reports less often.
-_REPORTS_MOST = 400
+_MAX_REPORTS_PER_SECOND = 400
 # Reports a second while all instances answer the same state: 195 take 0.1 s,
 # and 80 KB of the holder's link.
-_ANSWERS_MOST = 2000
+_MAX_ANSWERS_PER_SECOND = 2000
 # A holder that was silent for this long is asked after in the store, seconds:
 # five reports in a row without an answer.
 _SILENCE_SECONDS = 1.3
 # While it is silent it is asked after this often, seconds; `Leadership` spaces
 # the calls themselves.
-_LOOK_SECONDS = 0.25
+_LEASE_CHECK_SECONDS = 0.25
 # A wish is repeated after this, in case its datagram was lost, seconds.
-_WISH_SECONDS = 0.15
+_REQUEST_INTERVAL_SECONDS = 0.15
 # Instances assumed before the holder has told how many there are; more than
 # either first user runs, so that shared budgets are not overdrawn.
 _ASSUMED_INSTANCES = 12
@@ -71,19 +71,19 @@
             collections.Counter()
         )
         self._work: dict[tuple[str, str, str], float] = {}
-        self._patient: collections.Counter[tuple[str, str, str]] = (
+        self._can_wait: collections.Counter[tuple[str, str, str]] = (
             collections.Counter()
         )
         self._changed = asyncio.Event()
-        self._wished: dict[tuple[str, str, str], float] = {}
+        self._requested_at: dict[tuple[str, str, str], float] = {}
         self._pending_loads: dict[tuple[str, str], float] = {}
         # When items that were ordered can serve; bounded by their number.
         self._ready_at: dict[tuple[str, str], float] = {}
-        self._heard = 0.0
+        self._state_received_at = 0.0
         # When the holder last spoke, perhaps to say that it can not renew.
-        self._spoken = 0.0
+        self._last_contact_at = 0.0
         # The holder's last state; each report answers it.
-        self._last: facts.State | None = None
+        self._last_state: facts.State | None = None
         # Set when the next report must not wait for its time.
         self._is_report_due = asyncio.Event()
         self._is_leaving = False
@@ -92,7 +92,7 @@
     @property
     def state_age(self) -> float:
         """Seconds since the holder's load of endpoints was last heard."""
-        return clock.now() - self._heard
+        return clock.now() - self._state_received_at
 
     @property
     def has_recent_state(self) -> bool:
@@ -105,7 +105,7 @@
 
         It goes on trying and tells of what it learns.
         """
-        return clock.now() - self._spoken <= _SILENCE_SECONDS
+        return clock.now() - self._last_contact_at <= _SILENCE_SECONDS
 
     # For requests
 
@@ -129,7 +129,7 @@
         item = (service, traits.model, traits.adapter)
         self._demand[item] += 1
         self._work[item] = self._work.get(item, 0.0) + work
-        self._patient[item] += will_wait
+        self._can_wait[item] += will_wait
 
     async def request_item(
         self, service: str, traits: dialect.Traits, seconds: float
@@ -144,18 +144,18 @@
             return False
         item = (service, traits.model, traits.adapter)
         now = clock.now()
-        if now - self._wished.get(item, 0.0) > _WISH_SECONDS:
-            self._wished[item] = now
-            wish = facts.ItemRequest(
+        if now - self._requested_at.get(item, 0.0) > _REQUEST_INTERVAL_SECONDS:
+            self._requested_at[item] = now
+            request = facts.ItemRequest(
                 self._options.name, self._options.data_hall, *item
             )
-            self._hub.send(wish, addresses.split_address(holder))
+            self._hub.send(request, addresses.split_address(holder))
         changed = self._changed
         try:
-            async with asyncio.timeout(min(seconds, _WISH_SECONDS)):
+            async with asyncio.timeout(min(seconds, _REQUEST_INTERVAL_SECONDS)):
                 await changed.wait()
         except TimeoutError:
-            return seconds > _WISH_SECONDS
+            return seconds > _REQUEST_INTERVAL_SECONDS
         return True
 
     def estimate_ready_seconds(
@@ -201,10 +201,10 @@
         processor and link, which wait less, take the lease.
         """
         while True:
-            left = self._heard + _SILENCE_SECONDS - clock.now()
+            left = self._state_received_at + _SILENCE_SECONDS - clock.now()
             if left <= 0:
                 self._leadership.ask()
-            await asyncio.sleep(max(left, _LOOK_SECONDS))
+            await asyncio.sleep(max(left, _LEASE_CHECK_SECONDS))
 
     async def _wait_to_report(self) -> None:
         """Waits for the next report's time, or for a reason to give it now."""
@@ -214,7 +214,9 @@
         except TimeoutError:
             return
         # Not all at the same moment: their datagrams meet at one link.
-        await asyncio.sleep(random.uniform(0, self.instances / _ANSWERS_MOST))
+        await asyncio.sleep(
+            random.uniform(0, self.instances / _MAX_ANSWERS_PER_SECOND)
+        )
         self._is_report_due.clear()
 
     def report_soon(self) -> None:
@@ -222,7 +224,9 @@
         self._is_report_due.set()
 
     def _find_report_seconds(self) -> float:
-        return max(_REPORT_SECONDS, self.instances / _REPORTS_MOST)
+        return max(
+            _REPORT_INTERVAL_SECONDS, self.instances / _MAX_REPORTS_PER_SECOND
+        )
 
     def _report(self) -> None:
         holder = self._leadership.holder_address
@@ -245,12 +249,12 @@
                     *item,
                     count,
                     round(self._work[item], 3),
-                    self._patient[item],
+                    self._can_wait[item],
                 )
                 for item, count in self._demand.items()
             ),
-            self._last.term if self._last else 0,
-            self._last.stamp if self._last else 0,
+            self._last_state.term if self._last_state else 0,
+            self._last_state.stamp if self._last_state else 0,
             self._leadership.is_cut_off,
             self._is_leaving,
             tuple(
@@ -261,7 +265,7 @@
         )
         self._demand.clear()
         self._work.clear()
-        self._patient.clear()
+        self._can_wait.clear()
         self._hub.send(report, addresses.split_address(holder))
 
     def announce_leaving(self) -> None:
@@ -278,10 +282,10 @@
             self._leadership.receive_holder(
                 state.term, state.revision, state.address
             )
-        if _is_answered_at_once(self._last, state):
+        if _is_answered_at_once(self._last_state, state):
             self.report_soon()
-        self._last = state
-        self._spoken = clock.now()
+        self._last_state = state
+        self._last_contact_at = clock.now()
         self._limiter.hear(state)
         if not state.is_holder:
             self._leadership.receive_yield(state.term)
@@ -289,25 +293,27 @@
         self._leadership.hear(state.revision)
         if state.is_detached:
             self._leadership.receive_detached(state.term)
-        self._heard = clock.now()
+        self._state_received_at = clock.now()
         self.instances = max(state.instances, 1)
-        self._take_usages(state)
+        self._apply_usages(state)
 
-    def apply_placement_update(self, news: facts.PlacementUpdate) -> None:
+    def apply_placement_update(
+        self, placement_update: facts.PlacementUpdate
+    ) -> None:
         """Takes in what is loaded, taken away or coming."""
-        if news.term < self._leadership.seen_term:
+        if placement_update.term < self._leadership.seen_term:
             return
-        for word in news.updates:
-            self._take_word(word)
-        if news.is_whole:
+        for update in placement_update.updates:
+            self._schedule_update(update)
+        if placement_update.is_whole:
             self._pending_loads = {}
         now = clock.now()
-        for one in news.pending_loads:
+        for one in placement_update.pending_loads:
             key = (one.service, one.model)
             at = now + one.seconds
             self._pending_loads[key] = min(self._pending_loads.get(key, at), at)
 
-    def _take_usages(self, state: facts.State) -> None:
+    def _apply_usages(self, state: facts.State) -> None:
         totals = {u.endpoint: u for u in state.usages}
         for name, tracked in self._view.tracked.items():
             total = totals.get(name)
@@ -321,28 +327,28 @@
                 backlog.subtract(total.backlog, tracked.unread),
             )
 
-    def _take_word(self, word: facts.ItemUpdate) -> None:
-        if not word.seconds:
-            self._apply_word(word)
+    def _schedule_update(self, update: facts.ItemUpdate) -> None:
+        if not update.seconds:
+            self._apply_update(update)
             return
-        item = (word.model, word.adapter)
-        self._ready_at[item] = clock.now() + word.seconds
+        item = (update.model, update.adapter)
+        self._ready_at[item] = clock.now() + update.seconds
         loop = asyncio.get_running_loop()
-        loop.call_later(word.seconds, self._apply_word, word)
+        loop.call_later(update.seconds, self._apply_update, update)
 
-    def _apply_word(self, word: facts.ItemUpdate) -> None:
-        is_news = self._view.tell(
-            word.endpoint, word.model, word.adapter, word.is_held
+    def _apply_update(self, update: facts.ItemUpdate) -> None:
+        is_change = self._view.tell(
+            update.endpoint, update.model, update.adapter, update.is_held
         )
-        if not is_news:
+        if not is_change:
             return
         logs.event(
             _LOG,
             "item_told",
-            endpoint=word.endpoint,
-            model=word.model,
-            adapter=word.adapter,
-            held=word.is_held,
+            endpoint=update.endpoint,
+            model=update.model,
+            adapter=update.adapter,
+            held=update.is_held,
         )
         self.notify()
 
--- a/src/wayslip/gateway/snapshots.py
+++ b/src/wayslip/gateway/snapshots.py
@@ -19,9 +19,9 @@
 _FORMAT = 2
 # Of a configuration once it is no longer compressed, bytes: many times the 1 MB
 # that an object of the store may have.
-_SIZE_MOST = 16_000_000
+_MAX_SIZE_BYTES = 16_000_000
 # Compressing hard takes three times as long and saves a tenth.
-_LEVEL = 1
+_COMPRESSION_LEVEL = 1
 
 
 def encode(manifest: manifest_module.Manifest) -> bytes:
@@ -34,7 +34,9 @@
         manifest.limits,
         manifest.organisations,
     ]
-    return zlib.compress(cbor2.dumps(content, default=_encode_part), _LEVEL)
+    return zlib.compress(
+        cbor2.dumps(content, default=_encode_part), _COMPRESSION_LEVEL
+    )
 
 
 def _encode_part(encoder: cbor2.CBOREncoder, part: Any) -> None:
@@ -53,7 +55,7 @@
     """
     try:
         inflater = zlib.decompressobj()
-        content = inflater.decompress(data, _SIZE_MOST)
+        content = inflater.decompress(data, _MAX_SIZE_BYTES)
         if not inflater.eof:
             raise ValueError("it is cut short, or too large")
         number, *fields = cbor2.loads(content)
--- a/src/wayslip/gateway/staleness.py
+++ b/src/wayslip/gateway/staleness.py
@@ -15,10 +15,10 @@
 from wayslip import clock
 
 # Instances that miss the same change read at different times, seconds.
-_SPREAD_SECONDS = 0.15
+_MAX_JITTER_SECONDS = 0.15
 # What a new instance read first, which may be old, is enough for so long:
 # until its first report is answered and it hears the holder, seconds.
-_FIRST_SECONDS = 1.0
+_STALE_READ_SECONDS = 1.0
 
 
 class Staleness:
@@ -44,9 +44,9 @@
         self.limit = limit
         self._leads = leads
         self._obtain = obtain
-        self._proof = float("-inf")
+        self._current_at = float("-inf")
         self._woken = asyncio.Event()
-        self._heard = asyncio.Event()
+        self._updated = asyncio.Event()
         self.is_behind = False
 
     def note_announcement(self, age: float, is_complete: bool) -> None:
@@ -56,8 +56,8 @@
             age: Seconds since the store last answered the holder's watch.
             is_complete: Whether we have all changes that the holder has.
         """
-        self._proof = max(self._proof, clock.now() - age)
-        self._heard.set()
+        self._current_at = max(self._current_at, clock.now() - age)
+        self._updated.set()
         if is_complete:
             self.is_behind = False
         elif not self.is_behind:
@@ -70,7 +70,7 @@
         Args:
             seen_at: The time up to which it took everything in, steady seconds.
         """
-        self._proof = max(self._proof, seen_at)
+        self._current_at = max(self._current_at, seen_at)
         self.is_behind = False
 
     def note_stale_read(self) -> None:
@@ -78,8 +78,8 @@
 
         If it lacks what the holder has told, the next word says so again.
         """
-        enough = clock.now() - self.limit + _FIRST_SECONDS
-        self._proof = max(self._proof, enough)
+        enough = clock.now() - self.limit + _STALE_READ_SECONDS
+        self._current_at = max(self._current_at, enough)
         self.is_behind = False
 
     def note_complete(self) -> None:
@@ -89,7 +89,7 @@
     def wake(self) -> None:
         """Has the loop look again, because this instance may lead now."""
         self._woken.set()
-        self._heard.set()
+        self._updated.set()
 
     @property
     def leads(self) -> bool:
@@ -104,7 +104,7 @@
     @property
     def has_recent_update(self) -> bool:
         """Whether this instance follows, and the holder's word is new."""
-        age = clock.now() - self._proof
+        age = clock.now() - self._current_at
         return not self._leads() and age < self.limit
 
     async def wait_for_update(self, seconds: float) -> None:
@@ -114,12 +114,14 @@
         An instance that comes to lead meanwhile does not wait on: all others
         would be without word for as long.
         """
-        led = self._leads()
+        was_leading = self._leads()
         try:
             async with asyncio.timeout(seconds):
-                while not self.has_recent_update and self._leads() is led:
-                    self._heard.clear()
-                    await self._heard.wait()
+                while (
+                    not self.has_recent_update and self._leads() is was_leading
+                ):
+                    self._updated.clear()
+                    await self._updated.wait()
         except TimeoutError:
             pass
 
@@ -131,7 +133,7 @@
             if not self.is_fresh:
                 return
             self._woken.clear()
-            left = self._proof + self.limit - clock.now()
+            left = self._current_at + self.limit - clock.now()
             try:
                 async with asyncio.timeout(max(left, 0.0) + 0.01):
                     await self._woken.wait()
@@ -143,4 +145,4 @@
         if self._obtain is not None:
             await self._obtain()
         if self.is_behind:
-            await asyncio.sleep(random.uniform(0, _SPREAD_SECONDS))
+            await asyncio.sleep(random.uniform(0, _MAX_JITTER_SECONDS))
--- a/src/wayslip/gateway/watcher.py
+++ b/src/wayslip/gateway/watcher.py
@@ -24,10 +24,10 @@
 
 # Between calls while the store does not answer, seconds: a tenth of the time
 # after which a configuration must be in force again.
-_RETRY_SECONDS = 0.25
-_RETRY_MOST = 0.6
+_MIN_RETRY_SECONDS = 0.25
+_MAX_RETRY_SECONDS = 0.6
 # How long a watch waits that should not wait, seconds.
-_LOOK_SECONDS = 0.001
+_POLL_WAIT_SECONDS = 0.001
 # Less than this is not waited for: sums of times are not exact, seconds.
 _TICK_SECONDS = 0.001
 # Where one that may be old did not have what is lacking, none is read again
@@ -35,7 +35,7 @@
 _STALE_SECONDS = 5.0
 # Objects that can not be read whose last change is remembered, so that each is
 # logged once; with more of them some are logged again.
-_REFUSED_MOST = 1000
+_MAX_REFUSED = 1000
 
 
 class Watcher(Generic[T]):
@@ -45,16 +45,16 @@
         store: Where to read.
         kind: What to follow.
         staleness: Says when reading is needed.
-        take_list: Is given every whole list.
-        take_changes: Is given changes.
+        on_list: Is given every whole list.
+        on_changes: Is given changes.
         wait: How long a watch waits, seconds; see `Bounds.watch`.
         find_pause: Returns the seconds to wait before an attempt that others
             make too; given what one instance alone would wait.
         metrics: Where objects that can not be read are counted.
-        rest: Pause after changes, seconds, so that several come with one
-            call; calls are priced.
-        lists_anew: Whether to read the list rather than all changes after a
-            time without reading.
+        pause_after_changes: Seconds to wait after changes, so that one call
+            returns several of them; calls are priced.
+        relists_after_gap: Whether to read the whole list, instead of all
+            changes, after a time without reading.
         on_read: Is given when a read of the newest was sent, steady seconds,
             and the objects that could not be read, once its answer is taken
             in.
@@ -72,13 +72,13 @@
         store: store_module.Store,
         kind: store_module.Kind[T],
         staleness: staleness_module.Staleness,
-        take_list: Callable[[store_module.Listing[T]], None],
-        take_changes: Callable[[store_module.Changes[T]], None],
+        on_list: Callable[[store_module.Listing[T]], None],
+        on_changes: Callable[[store_module.Changes[T]], None],
         wait: float,
         find_pause: Callable[[float], float],
         metrics: metrics_module.Metrics,
-        rest: float = 0.0,
-        lists_anew: bool = False,
+        pause_after_changes: float = 0.0,
+        relists_after_gap: bool = False,
         on_read: Callable[[float, Set[str]], None] = lambda asked_at, names: (
             None
         ),
@@ -86,13 +86,13 @@
         self._store = store
         self._kind = kind
         self.staleness = staleness
-        self._take_list = take_list
-        self._take_changes = take_changes
+        self._on_list = on_list
+        self._on_changes = on_changes
         self._wait = wait
         self._find_pause = find_pause
         self._metrics = metrics
-        self._rest = rest
-        self._lists_anew = lists_anew
+        self._pause_after_changes = pause_after_changes
+        self._relists_after_gap = relists_after_gap
         self._on_read = on_read
         self._must_list = True
         self._read_stale_at = float("-inf")
@@ -117,25 +117,25 @@
 
     async def run(self) -> None:
         """Follows until it is cancelled."""
-        pause = _RETRY_SECONDS
+        pause = _MIN_RETRY_SECONDS
         while True:
             if self.staleness.has_recent_update and self.staleness.is_behind:
                 await self.staleness.ask_others()
             if self.staleness.is_fresh:
                 # Another instance reaches the store for us.
-                self._regain()
-                self._must_list |= self._lists_anew
+                self._note_regained()
+                self._must_list |= self._relists_after_gap
                 await self.staleness.wait_until_needed()
             try:
                 await self._read()
-                self._regain()
-                pause = _RETRY_SECONDS
+                self._note_regained()
+                pause = _MIN_RETRY_SECONDS
             except errors.WatchExpiredError:
                 self._must_list = True
             except errors.ObjectError as e:
-                self._lose(e)
+                self._note_lost(e)
                 await self._wait_to_retry(pause)
-                pause = min(pause * 1.5, _RETRY_MOST)
+                pause = min(pause * 1.5, _MAX_RETRY_SECONDS)
 
     async def _wait_to_retry(self, pause: float) -> None:
         """Waits before the next attempt, for as long as it is not needed.
@@ -204,7 +204,7 @@
         listed = {r.name for r in listing.refused}
         self._refused = {n: r for n, r in self._refused.items() if n in listed}
         self._note_refused(listing.refused)
-        self._take_list(listing)
+        self._on_list(listing)
         self.revision = listing.revision
         self._must_list = False
         self.is_synced = True
@@ -215,18 +215,18 @@
     async def _watch(self, revision: int) -> float:
         """Takes changes in; returns the time up to which they are complete."""
         # Only who leads waits for changes; the others look now and then.
-        wait = self._wait if self.staleness.leads else _LOOK_SECONDS
+        wait = self._wait if self.staleness.leads else _POLL_WAIT_SECONDS
         changes = await self._store.watch(self._kind, revision, wait)
         for change in changes.items:
             self._refused.pop(change.name, None)
         self._note_refused(changes.refused)
         if changes.items:
-            self._take_changes(changes)
+            self._on_changes(changes)
         # What the holder told meanwhile may be newer than this answer.
         self.revision = max(self.revision or 0, changes.revision)
         self._on_read(changes.asked_at, self._refused.keys())
-        if changes.items and self._rest:
-            await asyncio.sleep(self._rest)
+        if changes.items and self._pause_after_changes:
+            await asyncio.sleep(self._pause_after_changes)
         return changes.seen_at
 
     def _note_refused(self, refused: Iterable[store_module.Refused]) -> None:
@@ -234,7 +234,7 @@
         for one in refused:
             if self._refused.get(one.name) == one.revision:
                 continue
-            if len(self._refused) >= _REFUSED_MOST:
+            if len(self._refused) >= _MAX_REFUSED:
                 self._refused.clear()
             self._refused[one.name] = one.revision
             self._metrics.count(
@@ -250,7 +250,7 @@
                 reason=one.reason,
             )
 
-    def _lose(self, error: errors.ObjectError) -> None:
+    def _note_lost(self, error: errors.ObjectError) -> None:
         if self.lost_since is not None:
             return
         self.lost_since = clock.now()
@@ -262,7 +262,7 @@
             reason=error.reason,
         )
 
-    def _regain(self) -> None:
+    def _note_regained(self) -> None:
         if self.lost_since is None:
             return
         seconds = clock.now() - self.lost_since
--- a/tests/gateway/test_announcements.py
+++ b/tests/gateway/test_announcements.py
@@ -51,10 +51,10 @@
     holder, follower = find_roles(system, await system.join("g2"))
     told = holder._announcer.announce_list_changes
     # As if the datagram with the change had been lost.
-    holder._endpoints._tell = lambda changes: None
+    holder._endpoints._announce = lambda changes: None
     await system.add("e1", "plain")
     await system.until(lambda: "e1" in follower.view.tracked, 3.0)
-    holder._endpoints._tell = told
+    holder._endpoints._announce = told
 
 
 @harness.run
@@ -136,7 +136,7 @@
 async def test_parts_of_a_long_list_are_not_taken_for_all_of_it(system):
     holder, follower = find_roles(system, await system.join("g2"))
     told = []
-    holder._endpoints._tell = told.append
+    holder._endpoints._announce = told.append
     for number in range(70):
         spec = platform_site.entry("plain", f"127.0.0.1:{9000 + number}")
         system.store.put("servers", f"e{number:03}", spec)
@@ -145,7 +145,7 @@
     last = [c for c in told if c.revision][-1]
     follower._endpoints.watcher.revision = last.revision - 1
     follower._endpoints.apply_update(last)
-    assert not follower._endpoints.has(last.revision)
+    assert not follower._endpoints.has_applied(last.revision)
 
 
 @harness.run
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -68,7 +68,7 @@
     # Log: outcome=not_loaded seconds=0.162, then event=item_told held=True.
     monkeypatch.setattr(announcements, "_COALESCE_SECONDS_PER_INSTANCE", 60.0)
     monkeypatch.setattr(announcements, "_MAX_COALESCE_SECONDS", 60.0)
-    monkeypatch.setattr(announcements, "_WHOLE_SECONDS", 60.0)
+    monkeypatch.setattr(announcements, "_PLACEMENT_INTERVAL_SECONDS", 60.0)
     harness.run(ask_for_an_adapter_elsewhere)()
 
 
