--- a/src/wayslip/gateway/background.py
+++ b/src/wayslip/gateway/background.py
@@ -1,4 +1,4 @@
-"""Tasks that run beside others and whose failures must not go unseen."""
+"""Background tasks whose failures are logged."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class BackgroundTasks:
-    """Tasks that nobody waits for. Used on the event loop only."""
+    """Tasks that are not awaited. Used on the event loop only."""
 
     def __init__(
         self, failure: str, on_end: Callable[[], None] = lambda: None
@@ -18,15 +18,15 @@
         """Initializes without any task.
 
         Args:
-            failure: Name of the event that is logged when one fails.
-            on_end: Called when one has ended, however it did.
+            failure: Name of the event that is logged when a task fails.
+            on_end: Called when a task has ended, failed or was cancelled.
         """
         self._failure = failure
         self._on_end = on_end
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Has a coroutine run; returns its task."""
+        """Starts a coroutine; returns its task."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._end)
@@ -39,6 +39,6 @@
             _LOG.error(self._failure, exc_info=task.exception())
 
     def cancel(self) -> None:
-        """Ends all that run."""
+        """Cancels all running tasks."""
         for task in list(self._tasks):
             task.cancel()
--- a/src/wayslip/gateway/copy_client.py
+++ b/src/wayslip/gateway/copy_client.py
@@ -7,13 +7,14 @@
 from wayslip.http1 import client
 from wayslip.http1 import whole
 
-# Where an instance hands its configuration on, at its operators' address. With
-# the version that the asking one has; the answer is a newer one, or none.
+# Path at which an instance serves its configuration, at its address for
+# operators. The request names the version that the asking instance has; the
+# answer is a newer one, or empty.
 PATH = "/configuration"
-# An instance answers in 10 ms, one that is gone never, seconds.
+# An instance answers within 10 ms; one that has stopped does not answer.
 _CONNECT_SECONDS = 0.3
 _HEAD_SECONDS = 0.4
-# Silence in the midst of a copy, seconds: a lost packet or two.
+# Covers the retransmission of one or two lost packets in the middle of a copy.
 _STALL_SECONDS = 0.5
 _MAX_COPY_SECONDS = 2.0
 
@@ -22,14 +23,14 @@
     """Asks another instance for its configuration."""
 
     async def fetch(self, address: tuple[str, int], version: int) -> bytes:
-        """Returns a copy, see `snapshots`; nothing if it has none or is busy.
+        """Returns a copy, see `snapshots`; empty if it has none or is busy.
 
         Args:
-            address: Of the other instance, for operators.
-            version: What we have; a newer one is asked for.
+            address: The other instance's address for operators.
+            version: Version that this instance has; a newer one is asked for.
 
         Raises:
-            EndpointError: It did not answer, or not whole.
+            EndpointError: It did not answer, or its answer is incomplete.
         """
 
 
@@ -37,7 +38,7 @@
     """Implements `CopyClient`, with a connection for each copy."""
 
     async def fetch(self, address: tuple[str, int], version: int) -> bytes:
-        """Returns a copy, nothing if there is none to be had."""
+        """Returns a copy; empty if none is available."""
         connection = await client.connect(address, _CONNECT_SECONDS)
         reader = whole.WholeReader(_STALL_SECONDS, _MAX_COPY_SECONDS)
         request = (
@@ -50,7 +51,7 @@
                 head, body = await reader.read(connection, max_wait)
         except TimeoutError as e:
             raise errors.EndpointUnclearError(
-                f"{address[0]}:{address[1]} gave up on a copy after"
+                f"{address[0]}:{address[1]} timed out on a copy after"
                 f" {reader.received} bytes",
                 "another instance is asked, then the store",
             ) from e
--- a/src/wayslip/gateway/datagrams.py
+++ b/src/wayslip/gateway/datagrams.py
@@ -1,7 +1,8 @@
 """Messages between gateways as datagrams: CBOR arrays.
 
-Datagrams rather than connections, because a peer that froze or was cut off
-must cost nothing: there is no queue to fill and nothing to close.
+Datagrams are used rather than connections because a peer that hangs or is
+disconnected must cost nothing: there is no queue to fill and no connection to
+close.
 """
 
 import dataclasses
@@ -13,8 +14,8 @@
 from wayslip.decisions import suspicion
 from wayslip.gateway import facts
 
-# Larger datagrams are sent in parts, bytes: below what a network fragments
-# badly and what one receive buffer takes.
+# Senders split larger messages; the hub drops longer datagrams. The limit stays
+# below the size at which fragments are often lost, and within a receive buffer.
 DATAGRAM_LIMIT = 30_000
 _KINDS: dict[int, type] = {
     1: facts.Report,
@@ -34,11 +35,12 @@
     15: facts.PermitResponse,
 }
 _NUMBERS = {kind: number for number, kind in _KINDS.items()}
-# Fields that hold one such value.
+# Fields that hold a single value of a message type.
 _SINGLE = {
     "configuration": facts.WatchProgress,
     "endpoints": facts.WatchProgress,
 }
+# Fields that hold a tuple of values of a message type.
 _PARTS = {
     "usages": facts.Usage,
     "demands": facts.Demand,
@@ -62,7 +64,7 @@
 
 
 def _list_fields(part: Any) -> list[Any]:
-    """Returns a value's fields; dataclasses.astuple copies deeply, slowly."""
+    """Returns the fields; dataclasses.astuple copies deeply, which is slow."""
     return [getattr(part, f.name) for f in dataclasses.fields(part)]
 
 
@@ -83,7 +85,7 @@
     """Returns the message of a datagram.
 
     Raises:
-        FrameError: It is none of ours.
+        FrameError: The datagram is not a message of this format.
     """
     try:
         number, *values = cbor2.loads(data)
--- a/src/wayslip/gateway/facts.py
+++ b/src/wayslip/gateway/facts.py
@@ -1,6 +1,7 @@
-"""What gateways tell each other, as frozen values.
+"""Messages between gateways, as frozen values.
 
-These are soft facts only; one that is lost is made up for by the next.
+All of them are soft state: a message that is lost is made up for by the next
+one of its kind.
 """
 
 import dataclasses
@@ -15,7 +16,7 @@
     """Requests at an endpoint.
 
     Attributes:
-        unread: Milliseconds to read the prompts that wait, by priority.
+        unread: Milliseconds of prefill of the prompts that wait, by priority.
     """
 
     endpoint: str
@@ -26,24 +27,24 @@
     def of(
         cls, endpoint: str, in_flight: int, unread: backlog.Backlog
     ) -> "Usage":
-        """Returns the usage of an endpoint, its backlog in seconds."""
+        """Returns the usage of an endpoint from its backlog in seconds."""
         milliseconds = tuple(round(s * 1000) for s in unread)
         return cls(endpoint, in_flight, milliseconds)
 
     @property
     def backlog(self) -> backlog.Backlog:
-        """The prompts that wait, in seconds by priority."""
+        """Prefill of the prompts that wait, in seconds by priority."""
         return tuple(m / 1000 for m in self.unread)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """Requests for a model that came since the last report.
+    """Requests for a model since the last report.
 
     Attributes:
-        work: Seconds that an engine takes to read their prompts.
-        can_wait: Those whose client can still be there when a load from the
-            weight store ends.
+        work: Seconds of prefill of their prompts.
+        can_wait: Those whose client can still be connected when a load from
+            the weight store ends.
     """
 
     service: str
@@ -56,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reading:
-    """How fast a model reads prompts, tokens a second."""
+    """Prefill rate of a model, tokens a second."""
 
     model: str
     rate: float
@@ -64,12 +65,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Spending:
-    """What an instance was asked by an organisation, and what it sent on.
+    """Units that an organisation asked of an instance, and that it sent on.
 
     Attributes:
         asked, used: Units since the process began.
-        known: Of `used`, what the last word of the holder before this one
-            counted.
+        known: Part of `used` that the lease holder had counted in the last
+            level that was received.
     """
 
     organisation: str
@@ -80,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Level:
-    """What an organisation may send on; see `quota.QuotaLevel`."""
+    """Available units of an organisation; see `quota.QuotaLevel`."""
 
     organisation: str
     level: int
@@ -93,10 +94,10 @@
 
     Attributes:
         items: Models and adapters that it holds, "MODEL" or "MODEL/ADAPTER".
-        in_memory: Models whose weights lie in its host memory.
-        on_disk: Models whose weights lie on its disk.
-        beat: Number of the heartbeat that wrote it.
-        born: When the endpoint started; see `fleet.Endpoint`.
+        in_memory: Models whose weights are in its host memory.
+        on_disk: Models whose weights are on its disk.
+        beat: Heartbeat count of the heartbeat that wrote the entry.
+        born: Start time of the endpoint; see `fleet.Endpoint`.
     """
 
     endpoint: str
@@ -156,19 +157,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What an instance tells the lease's holder now and then.
+    """What an instance sends to the lease holder periodically.
 
     Attributes:
-        number: Rises with every report of a process.
-        lacks_list: Whether it lacks something of the platform's list and can
-            not read it now.
-        echo_term: The term of the holder's last state that it heard.
+        number: Increases with every report of a process.
+        lacks_list: Whether it lacks changes of the platform's list and can
+            not read them now.
+        echo_term: Term of the last state received from the holder.
         echo_stamp: When the holder sent that; see `detachment.make_stamp`.
-        is_cut_off: Whether the store did not answer when it last asked for
-            the lease, or has not yet.
-        is_leaving: Whether it stops as planned; it takes no lease then.
-        readings: How fast models read prompts, a sample each.
-        spendings: Sums that changed a moment ago.
+        is_cut_off: Whether the store did not answer the last request for the
+            lease, or has not answered yet.
+        is_leaving: Whether it is shutting down as planned; it takes no lease
+            then.
+        readings: Samples of prefill rates.
+        spendings: Sums that changed recently.
     """
 
     instance: str
@@ -188,7 +190,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ItemRequest:
-    """A request waits for a model or adapter that no endpoint holds."""
+    """A request that waits for a model or adapter that no endpoint holds."""
 
     instance: str
     data_hall: str
@@ -199,10 +201,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ItemUpdate:
-    """An item is loaded in some seconds, or will be gone.
+    """An item that will be loaded in some seconds, or is removed.
 
     Attributes:
-        seconds: Until it can serve; 0 for one that is taken away.
+        seconds: Until it can serve; 0 for one that is removed.
     """
 
     endpoint: str
@@ -214,11 +216,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PendingLoad:
-    """A model that is being loaded and the seconds until it can serve.
+    """A model that is being loaded, with the seconds until it can serve.
 
     Attributes:
-        is_ordered: Whether the engine has taken the order; else something
-            makes way first, and a successor of the holder plans anew.
+        is_ordered: Whether the engine has accepted the order. Otherwise
+            something is evicted first, and a new lease holder plans the load
+            again.
     """
 
     endpoint: str
@@ -230,13 +233,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rate:
-    """How often a model is asked for, requests a second.
-
-    A successor of the holder begins with these.
+    """Requests a second for a model; a new lease holder starts from these.
 
     Attributes:
-        work: Seconds to read their prompts, a second.
-        misses: Requests that found it nowhere since it was last there.
+        work: Seconds of prefill of their prompts, a second.
+        misses: Requests refused for lack of the model since it was last
+            loaded.
     """
 
     service: str
@@ -249,7 +251,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimRevision:
-    """The revision of the last claim on an engine."""
+    """Revision of the last claim on an engine."""
 
     endpoint: str
     revision: int
@@ -257,11 +259,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchProgress:
-    """How far the lease's holder follows a kind of objects.
+    """How far the lease holder follows a kind of objects.
 
     Attributes:
-        revision: Up to which it has told all changes.
-        age: Seconds since the store last answered its watch.
+        revision: All changes up to this one were announced.
+        age: Seconds since the store last answered the holder's watch.
     """
 
     revision: int
@@ -270,22 +272,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class State:
-    """What the lease's holder tells every instance all the time.
+    """What the lease holder sends to every instance periodically.
 
     Attributes:
-        term: The holder's term.
-        revision: Of its last renewal of the lease.
-        address: Where the holder hears its peers, "IP:PORT".
+        term: Term of the holder.
+        revision: Revision of its last renewal of the lease.
+        address: Address for messages from its peers, "IP:PORT".
         is_holder: Whether its lease is valid.
-        instances: How many instances it hears of.
+        instances: Number of instances that report to it.
         configuration: How far it follows the configuration; the revision is
-            the configuration's own version.
+            the version of the configuration itself.
         endpoints: How far it follows the list of endpoints.
         usages: Totals over all instances.
         stamp: When it was sent; see `detachment.make_stamp`.
-        is_detached: Whether the holder goes on while nobody reaches the
-            store; see `decisions.detachment`.
-        levels: Of organisations' quotas, those with the least left first.
+        is_detached: Whether the holder continues while no instance reaches
+            the store; see `decisions.detachment`.
+        levels: Available units of organisations, those with the fewest first.
     """
 
     term: int
@@ -314,12 +316,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Confirmed:
-    """Says which configuration was the newest some time ago.
+    """States which configuration was the newest some time ago.
 
     Attributes:
-        stamp: Of the question.
-        version: Of that configuration.
-        age: Seconds from when it was so to this answer.
+        stamp: Stamp of the `Confirm` that is answered.
+        version: Version of that configuration.
+        age: Seconds between the time at which it was the newest and this
+            answer.
     """
 
     stamp: int
@@ -329,11 +332,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementUpdate:
-    """What is loaded or taken away, and what comes.
+    """Items that were loaded or removed, and pending loads.
 
     Attributes:
-        term: The holder's term.
-        is_whole: Whether this is all there is; else only what changed.
+        term: Term of the lease holder.
+        is_whole: Whether this is the whole state; otherwise only what changed.
     """
 
     term: int
@@ -344,11 +347,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Handover:
-    """What a successor of the holder has to know; a part of it.
+    """State that a new lease holder needs; one part of it.
 
     Attributes:
         peers: Instances as (address, data hall), empty if not in this part.
-        readings: What was learned from all samples.
+        readings: Prefill rates estimated from the samples of all instances.
     """
 
     term: int
@@ -360,16 +363,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed in the platform's list of endpoints.
+    """Changes of the platform's list of endpoints.
 
     Attributes:
-        since: The store's revision that these changes follow on.
-        revision: Up to which these are all changes; 0 for a part that others
-            follow.
+        since: Revision of the store that these changes follow.
+        revision: These are all changes up to this one; 0 for a part that is
+            followed by others.
         gone: Endpoints that left the list.
-        lapsed: Endpoints that may have lapsed from it in an outage and come
-            back.
-        names: All endpoints in the list, where this ends a whole one.
+        lapsed: Endpoints whose entries may have lapsed in an outage of the
+            store, and which may list themselves again.
+        names: All endpoints in the list, in the last part of a whole list.
     """
 
     term: int
@@ -383,14 +386,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Missing:
-    """An instance lacks changes of the list after a revision."""
+    """Asks for the changes of the list after a revision."""
 
     revision: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Relay:
-    """A message that its receiver takes and passes on."""
+    """A message that its recipient processes and forwards."""
 
     recipients: tuple[str, ...]
     payload: bytes
@@ -398,11 +401,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspects:
-    """What was on its way to endpoints that ended; see `suspicion`.
+    """Content that was in flight at endpoints that crashed; see `suspicion`.
 
     Attributes:
-        crash_records: That count, as far as the sender knows.
-        cleared: That count no longer.
+        crash_records: Records that count, as far as the sender knows.
+        cleared: Records that no longer count.
         common: Contents that endpoints answered before.
     """
 
@@ -421,10 +424,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limited:
-    """An endpoint named a limit in an answer, or names none any more.
+    """An endpoint stated a rate limit in an answer, or states none any more.
 
     Attributes:
-        limit: Requests a second that it takes from all instances together,
+        limit: Requests a second that it accepts from all instances together,
             None for no limit.
     """
 
@@ -435,12 +438,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PermitRequest:
-    """An instance asks the lease's holder for a place; see `decisions.places`.
+    """Asks the lease holder for a permit; see `decisions.permits`.
 
     Attributes:
-        number: Tells the sender's questions apart.
-        limit: The endpoint's, as the sender knows it.
-        max_wait: Seconds that the request can wait for a place.
+        number: Identifies the request among those of the sender.
+        limit: Limit of the endpoint, as the sender knows it.
+        max_wait: Seconds that the request can wait for a permit.
     """
 
     number: int
@@ -452,7 +455,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PermitResponse:
-    """The lease's holder's answer; see `permit_broker.Verdict`."""
+    """Answer of the lease holder; see `permit_broker.Verdict`."""
 
     number: int
     is_granted: bool
--- a/src/wayslip/gateway/hub.py
+++ b/src/wayslip/gateway/hub.py
@@ -21,7 +21,7 @@
 
 
 class Hub(asyncio.DatagramProtocol):
-    """Sends and hears datagrams, and passes statements on to peers."""
+    """Sends and receives datagrams, and forwards relayed messages to peers."""
 
     def __init__(
         self, handler: Handler, metrics: metrics_module.Metrics
@@ -41,12 +41,12 @@
         await loop.create_datagram_endpoint(lambda: self, local_addr=address)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the socket in."""
-        # asyncio's own transport for datagrams is no DatagramTransport by type.
+        """Stores the transport."""
+        # asyncio's transport for datagrams is no DatagramTransport by type.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Decodes a datagram and hands it on."""
+        """Decodes a datagram, forwards a relayed one and calls the handler."""
         self._count("heard", len(data))
         try:
             message = datagrams.decode(data)
@@ -63,17 +63,17 @@
             self._send(message.payload, addresses.split_address(other))
 
     def error_received(self, exc: Exception) -> None:
-        """Notes that a peer has no socket; its silence is noticed anyway."""
+        """Logs that a peer has no socket; missing reports reveal it anyway."""
         _LOG.debug("peer_unreachable", exc_info=exc)
 
     def send(self, message: facts.Message, address: Address) -> None:
-        """Sends a message; it may be lost."""
+        """Sends a message; the datagram may be lost."""
         self._send(datagrams.encode(message), address)
 
     def broadcast(
         self, message: facts.Message, peers: Iterable[fanout.Peer]
     ) -> None:
-        """Sends a message to many, encoded once; it may be lost on any way."""
+        """Sends a message to many peers, encoded once; any copy may be lost."""
         payload = datagrams.encode(message)
         for branch in fanout.plan(peers, self._rng):
             data = payload
--- a/src/wayslip/gateway/options.py
+++ b/src/wayslip/gateway/options.py
@@ -1,39 +1,40 @@
-"""What a gateway is told by its instance, and its own constants.
+"""Options of an instance, and the bounds that its decisions respect.
 
-Times are seconds. An instance's facts come from the platform's settings file,
-decoded by the adapter.
+Times are in seconds. The options come from the platform's settings file, which
+the platform's adapter decodes.
 """
 
 import dataclasses
 
 from wayslip.decisions import quota
 
-# Shares of the time in which a configuration must be in force: how long the
-# lease holder's watch waits, and how old its word may get. What is left is
-# for an instance to read for itself.
+# Shares of the time within which a configuration must be in force: how long the
+# watch of the lease holder waits, and how old its progress may become. The rest
+# is left for an instance to read the store itself.
 _WATCH_SHARE = 0.3
 _STALENESS_SHARE = 0.65
-# Share for which an instance that lacks a change asks others for it. Of 3 s
-# that leaves 2.2 s to read the store; 1 MB takes 1.7 s of a link of 5 Mbit/s.
+# Share of that time for which an instance that lacks a change asks others for
+# it. Of 3 s this leaves 2.2 s to read the store; 1 MB takes 1.7 s of a link of
+# 5 Mbit/s.
 _COPIES_SHARE = 0.25
 
 
 @dataclasses.dataclass(frozen=True)
 class Bounds:
-    """Promises to the platform's operators that decisions must respect.
+    """Guarantees to the platform's operators that decisions must respect.
 
     Attributes:
         grace: Time between SIGTERM and SIGKILL.
-        lease: Two holders' orders to one engine keep this far apart.
-        budget_ratio: Repeats allowed for each request to a service.
-        budget_window: Window over which repeats are counted.
-        budget_slack: Repeats allowed on top, over all instances.
+        lease: Least time between orders of two lease holders to one engine.
+        budget_ratio: Retries allowed for each request to a service.
+        budget_window: Window over which retries are counted.
+        budget_slack: Retries allowed on top, over all instances.
         load_window: Window over which loads from the weight store count.
         config_apply: A configuration is in force after this.
         load_over: Factor by which loads may exceed the store's rate.
-        revocation: A key that was taken away stops after this at every
-            instance, in touch with the store or not; None if only at those in
-            touch, after `config_apply`.
+        revocation: A removed key stops working after this at every instance,
+            whether or not it reaches the store; None if only instances that
+            reach it guarantee this, after `config_apply`.
         allowance: What organisations may send beyond their quotas.
     """
 
@@ -50,12 +51,12 @@
 
     @property
     def watch(self) -> float:
-        """How long a watch may wait; one that a cut silenced ends then."""
+        """How long a watch may wait; one that a cut link silences ends then."""
         return self.config_apply * _WATCH_SHARE
 
     @property
     def max_staleness(self) -> float:
-        """How old the lease holder's word of the store may get."""
+        """How old the store's state from the lease holder may become."""
         return self.config_apply * _STALENESS_SHARE
 
     @property
@@ -66,17 +67,18 @@
 
 @dataclasses.dataclass(frozen=True)
 class Options:
-    """An instance's facts.
+    """Options of one instance.
 
     Attributes:
         callers: Address for callers, "IP:PORT"; so are the next three.
-        readiness: Where the balancer asks whether we are ready.
-        store: The platform's store.
-        peers: Where this instance hears its peers (UDP).
+        readiness: Address at which the balancer asks for readiness.
+        store: Address of the platform's store.
+        peers: Address for datagrams from other instances (UDP).
         metrics_port: Port for operators; 0 for none.
-        cores: Processor time that the instance has, cores of usual speed.
-        bytes_per_s: Of the instance's link.
-        urgency: How priorities are put together; see `decisions.urgency`.
+        cores: Processor time available to the instance, in cores of usual
+            speed.
+        bytes_per_s: Bandwidth of the instance's link.
+        urgency: How priorities are combined; see `decisions.urgency`.
         max_wait: How long requests wait for models; see `decisions.waiting`.
     """
 
--- a/src/wayslip/gateway/peer_broadcast.py
+++ b/src/wayslip/gateway/peer_broadcast.py
@@ -1,4 +1,4 @@
-"""Whom an instance tells what concerns everybody."""
+"""Broadcasts to all instances that are known."""
 
 from wayslip.decisions import fanout
 from wayslip.gateway import facts
@@ -8,7 +8,7 @@
 
 
 class PeerBroadcast:
-    """All instances as far as this one knows them."""
+    """Sends messages to all instances that this one knows."""
 
     def __init__(
         self,
@@ -21,9 +21,10 @@
         self._leadership = leadership
 
     def list_peers(self) -> list[fanout.Peer]:
-        """Returns whom to tell: all, and the holder if it is not among them.
+        """Returns all known instances, and the lease holder if not among them.
 
-        Who has just started knows no other yet, and the holder tells the rest.
+        An instance that has just started knows no other instance yet; the
+        holder then forwards its message to the rest.
         """
         peers = self._members.peers()
         holder = self._leadership.holder_address
@@ -32,13 +33,13 @@
         return [*peers, fanout.Peer(holder, "")]
 
     def broadcast(self, message: facts.Message) -> None:
-        """Tells everybody; a datagram may be lost on any way."""
+        """Sends a message to all known instances; any copy may be lost."""
         self._hub.broadcast(message, self.list_peers())
 
     def forward_as_holder(self, message: facts.Message) -> None:
-        """Tells everybody what was news to us, if we hold the lease.
+        """Forwards a new message to all if this instance holds the lease.
 
-        Who told us may have known nobody else.
+        Its sender may have known no other instance.
         """
         if self._leadership.is_held:
             self.broadcast(message)
--- a/src/wayslip/gateway/snapshots.py
+++ b/src/wayslip/gateway/snapshots.py
@@ -1,7 +1,7 @@
-"""A configuration as bytes, as instances hand it on to each other.
+"""A configuration as bytes, as instances send it to one another.
 
-CBOR arrays of the fields in their order, compressed. Names of routes are drawn
-at random, and 1.05 MB of the operator's JSON become 0.07 MB.
+The format is CBOR arrays of the fields in their order, compressed. Names of
+routes are random, and 1.05 MB of the operator's JSON become 0.07 MB.
 """
 
 import dataclasses
@@ -14,13 +14,13 @@
 from wayslip.decisions import manifest as manifest_module
 from wayslip.decisions import organisations as organisations_module
 
-# Changes with the fields of a configuration: an instance of another version
-# of ours then reads the store instead of taking them for something else.
+# Changes with the fields of a configuration, so that an instance of another
+# version reads the store instead of misinterpreting the copy.
 _FORMAT = 2
-# Of a configuration once it is no longer compressed, bytes: many times the 1 MB
-# that an object of the store may have.
+# Largest size after decompression: many times the 1 MB that an object of the
+# store may have.
 _MAX_SIZE_BYTES = 16_000_000
-# Compressing hard takes three times as long and saves a tenth.
+# Higher levels take three times as long and save a tenth of the size.
 _COMPRESSION_LEVEL = 1
 
 
@@ -45,13 +45,13 @@
 
 
 def decode(data: bytes) -> manifest_module.Manifest:
-    """Returns the configuration of some bytes.
+    """Returns the configuration that some bytes encode.
 
-    The compressed form ends with a checksum, so bytes that were harmed on the
-    way are found out.
+    The compressed form ends with a checksum, which reveals bytes that were
+    corrupted on the way.
 
     Raises:
-        FrameError: They are none of ours, or harmed.
+        FrameError: The bytes are of another format, or corrupted.
     """
     try:
         inflater = zlib.decompressobj()
@@ -77,7 +77,7 @@
         AttributeError,
     ) as e:
         raise errors.FrameError(
-            f"a configuration handed on is malformed ({e})",
+            f"a copy of the configuration is malformed ({e})",
             "run the same release on all instances",
         ) from e
 
--- a/src/wayslip/gateway/store.py
+++ b/src/wayslip/gateway/store.py
@@ -1,4 +1,4 @@
-"""The store as the gateway sees it: objects with revisions, and changes."""
+"""Interface to the store: objects with revisions, and changes."""
 
 from collections.abc import Callable
 import dataclasses
@@ -15,9 +15,9 @@
     """A kind of objects.
 
     Attributes:
-        name: In the store.
-        decode: From an object's name and content; raises ObjectError.
-        encode: To the content that is written.
+        name: Name of the kind in the store.
+        decode: Decodes an object's name and content; raises ObjectError.
+        encode: Encodes a value to the content that is written.
     """
 
     name: str
@@ -36,12 +36,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Refused:
-    """An object that can not be read; it counts as not being there.
+    """An object that can not be decoded; it is treated as absent.
 
     Attributes:
-        name: Empty where not even that can be read.
-        revision: Of its last change, 0 where that can not be read.
-        field: What is wrong with it.
+        name: Empty if not even the name can be decoded.
+        revision: Revision of its last change, 0 if that can not be decoded.
+        field: The invalid field.
         reason: One sentence for the log.
     """
 
@@ -56,8 +56,8 @@
     """Objects of a kind, and the revision to watch from.
 
     Attributes:
-        seen_at: Steady time from which on something newer may be there.
-        refused: Objects that are left out.
+        seen_at: Steady time from which on newer changes may exist.
+        refused: Objects that are left out because they can not be decoded.
     """
 
     items: tuple[Stored[T], ...]
@@ -76,13 +76,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Changes(Generic[T]):
-    """What changed after a revision, and the revision to go on from.
+    """What changed after a revision, and the revision to continue from.
 
     Attributes:
-        seen_at: Steady time from which on something newer may be there.
-        refused: Objects that can not be read, among the changes as removed.
-        asked_at: When the watch was sent, steady seconds; whatever delayed its
-            answer, what it says was true then or later.
+        seen_at: Steady time from which on newer changes may exist.
+        refused: Objects that can not be decoded; `items` has them as removed.
+        asked_at: When the watch was sent, steady seconds. However late the
+            answer is, it was true at this time or later.
     """
 
     items: tuple[Change[T], ...]
@@ -95,19 +95,20 @@
 class Store(Protocol):
     """Reads and conditionally writes objects.
 
-    All revisions that are given and taken are positions in the store's history,
-    which rise even when it comes back from a copy; see `decisions.position`.
+    All revisions in arguments and results are positions in the store's history,
+    which increase even when the store is restored from a copy; see
+    `decisions.position`.
 
-    Every call raises ObjectUnavailableError when the store does not answer;
-    a write may then have taken effect, or may seconds later.
+    Every call raises ObjectUnavailableError when the store does not answer; a
+    write may then have taken effect, or may take effect seconds later.
     """
 
     @property
     def era(self) -> int:
-        """Of the store's history, as last seen."""
+        """Era of the store's history, as last observed."""
 
     def on_return(self, listener: Callable[[], None]) -> None:
-        """Has a listener called when the store came back from a copy."""
+        """Adds a listener that is called when the store returns from a copy."""
 
     async def list(
         self, kind: Kind[T], may_be_stale: bool = False
@@ -115,9 +116,9 @@
         """Returns all objects of a kind.
 
         Args:
-            kind: Of the objects.
-            may_be_stale: Whether an answer will do that is seconds old, at a
-                tenth of the price. It says nothing of what is true now.
+            kind: Kind of the objects.
+            may_be_stale: Whether an answer that is seconds old is accepted, at
+                a tenth of the price. It does not show what is true now.
         """
 
     async def watch(
@@ -135,10 +136,10 @@
         """Returns an object, None if there is none; see `list`."""
 
     async def create(self, kind: Kind[T], name: str, value: T) -> Stored[T]:
-        """Makes an object.
+        """Creates an object.
 
         Raises:
-            ObjectConflictError: It is there.
+            ObjectConflictError: It exists.
         """
 
     async def replace(
@@ -150,17 +151,17 @@
         """Replaces an object if it still has the revision it was read at.
 
         Args:
-            kind: Of the object.
+            kind: Kind of the object.
             stored: Its name, the revision it was read at, the new value.
-            max_wait: Seconds to wait for the answer; the usual ones if None.
+            max_wait: Seconds to wait for the answer; the default ones if None.
 
         Raises:
-            ObjectConflictError: It has another one; nothing was written.
+            ObjectConflictError: Its revision differs; nothing was written.
         """
 
     async def remove(self, kind: Kind[T], name: str, revision: int) -> None:
         """Removes an object if it still has a revision.
 
         Raises:
-            ObjectConflictError: It has another one, or is not there.
+            ObjectConflictError: Its revision differs, or it does not exist.
         """
