--- a/src/wayslip/gateway/announcements.py
+++ b/src/wayslip/gateway/announcements.py
@@ -1,4 +1,4 @@
-"""What the planner tells the instances, and how often."""
+"""What the lease holder announces to the instances, and how often."""
 
 import asyncio
 import collections
@@ -19,28 +19,27 @@
 from wayslip.gateway import quota_accounts as quota_accounts_module
 from wayslip.gateway import tracked_engines as tracked_engines_module
 
-# Between states of load, seconds: load moves by a few requests in this time.
+# Interval between states: load changes by a few requests in this time.
 STATE_INTERVAL_SECONDS = 0.25
-# The holder looks this often whether it must tell at once that it can not renew
-# or goes on without the store, seconds: each is waited for by the whole fleet,
-# which orders nothing meanwhile.
+# Interval of checks whether the holder must announce at once that it can not
+# renew the lease or that it enters detached operation. All instances wait for
+# either announcement, and no engine is ordered meanwhile.
 _LEASE_CHECK_SECONDS = 0.05
-# Between whole statements of what is loaded, which make up for lost news.
+# Interval between whole placement updates, which make up for lost partial ones.
 _PLACEMENT_INTERVAL_SECONDS = 1.0
-# What a successor has to know is told this often, seconds; demand fades in 4.
+# Interval of the state for a successor; demand decays over 4 s.
 _HANDOVER_INTERVAL_SECONDS = 1.0
-# News waits for more of it, seconds for each instance, so that all of a fleet
-# hear at most some thousand datagrams a second.
+# Changes are collected for this time, for each instance, before they are sent,
+# so that a fleet receives at most about a thousand datagrams a second in total.
 _COALESCE_SECONDS_PER_INSTANCE = 0.001
 _MAX_COALESCE_SECONDS = 0.15
-# Demand and claims told with one datagram; each takes some 40 bytes of the 30
-# KB that it may have.
+# Rates and claims in one datagram; each takes about 40 bytes of its 30 KB.
 _MAX_ITEMS_PER_DATAGRAM = 400
-# Lists sent to instances that lack something and can not read it, a second; one
+# Whole lists sent to instances that lack changes and can not read them. A list
 # takes 25 KB at 84 endpoints, so that they take 2 Mbit/s of the holder's link.
 # An instance that gets none asks again with its next report.
 MAX_LISTS_PER_SECOND = 10
-# Changes of the list that are kept to be told again: those of some seconds.
+# Changes of the list kept to be sent again: those of the last few seconds.
 _MAX_CHANGES_KEPT = 20
 
 
@@ -53,7 +52,7 @@
 
 
 class Announcer:
-    """Makes the planner's statements and sends them."""
+    """Creates the announcements of the lease holder and sends them."""
 
     def __init__(
         self,
@@ -97,19 +96,19 @@
     def _broadcast(self, message: facts.Message) -> None:
         self._hub.broadcast(message, self._members.peers())
 
-    # All the time
+    # Periodic announcements
 
     async def run(
         self, find_store_progress: Callable[[], StoreProgress]
     ) -> None:
-        """Tells the state until it is cancelled, while we hold the lease."""
+        """Announces states until cancelled, while the lease is held."""
         while True:
             if self._leadership.is_held:
                 self.announce_state(find_store_progress())
             await self._wait_for_next_state()
 
     async def _wait_for_next_state(self) -> None:
-        """Waits for the next state's time, or for what all must hear now."""
+        """Waits until the next state is due or must be sent early."""
         end = clock.now() + STATE_INTERVAL_SECONDS
         announced = self._find_lease_state()
         while (left := end - clock.now()) > 0:
@@ -123,14 +122,14 @@
                 return
 
     def _find_lease_state(self) -> tuple[bool, bool]:
-        """Returns whether we can not renew, and whether we go on anyway."""
+        """Returns whether renewal is overdue, and detachment proposed."""
         return (
             self._leadership.is_renewal_overdue,
             self._detached_operation.is_proposed,
         )
 
     def announce_state(self, store_progress: StoreProgress) -> None:
-        """Tells the load, and how far the store is followed."""
+        """Announces the load, and how far the store is followed."""
         peers = self._members.peers()
         is_detached = self._detached_operation.is_proposed
         self._announced_levels = self._accounts.list_words()
@@ -179,13 +178,13 @@
             )
             self._broadcast(part)
 
-    # News
+    # Changes of placement
 
     def announce_changes(self) -> None:
-        """Tells soon what changed of what is loaded."""
+        """Announces changes of loaded items after a short delay."""
         if self._flush is not None or not self._leadership.is_held:
-            # Series that end because the lease was lost come here too; their
-            # word would be taken for the next holder's.
+            # Order series that end because the lease was lost come here too;
+            # their updates would be taken for those of the next holder.
             return
         count = len(self._members.peers())
         delay = min(
@@ -201,7 +200,7 @@
         now = clock.now()
         updates = self._list_updates(now)
         pending_loads = self._list_pending_loads(now)
-        # The seconds that are left change all the time and are no news.
+        # The remaining seconds change all the time and are not announced.
         new_updates = tuple(
             w
             for w in updates
@@ -225,7 +224,7 @@
         item: fleet.Item,
         addresses: list[hub_module.Address],
     ) -> None:
-        """Tells some instances at once that an engine serves an item soon."""
+        """Announces to some instances at once that an engine serves an item."""
         if not self._leadership.is_held:
             return
         now = clock.now()
@@ -290,7 +289,7 @@
     # The list of endpoints
 
     def announce_list_changes(self, changes: facts.Changes) -> None:
-        """Tells what changed in the platform's list."""
+        """Announces changes of the platform's list."""
         if self._leadership.is_held:
             term = self._leadership.seen_term
             announced = dataclasses.replace(changes, term=term)
@@ -301,7 +300,7 @@
     def repeat_changes(
         self, missing: facts.Missing, source: hub_module.Address
     ) -> None:
-        """Tells an instance again what it lacks, if that is still known."""
+        """Sends missing changes to an instance again, if they are kept."""
         newer = [c for c in self._changes if c.revision > missing.revision]
         if newer and newer[0].since <= missing.revision:
             for changes in newer:
@@ -310,7 +309,7 @@
     def send_list(
         self, parts: list[facts.Changes], source: hub_module.Address
     ) -> None:
-        """Sends the list to an instance that lacks it, within the limit."""
+        """Sends the list to an instance that lacks it, limited in rate."""
         left = self._list_bucket.take(clock.now())
         if left is None:
             return
@@ -321,5 +320,5 @@
 
 
 def _drop_seconds(update: facts.ItemUpdate) -> facts.ItemUpdate:
-    """Returns a word without the seconds that are left."""
+    """Returns an update without its remaining seconds."""
     return dataclasses.replace(update, seconds=0.0)
--- a/src/wayslip/gateway/endpoint_follower.py
+++ b/src/wayslip/gateway/endpoint_follower.py
@@ -1,16 +1,16 @@
-"""Follows the platform's list of endpoints into the view.
+"""Applies the platform's list of endpoints to the view.
 
-The lease's holder watches the list and tells the other instances what
-changed. Every telling names the revision that it follows on, so that an
-instance which missed one knows it and reads the list itself.
+The lease holder watches the list and announces changes to the other instances.
+Every announcement names the revision that it follows, so that an instance that
+missed one detects this and reads the list itself.
 
 An address belongs to one endpoint at a time. So a new entry with the address
-of a known endpoint says that this one has ended, well before its own entry
-goes.
+of a known endpoint shows that the known endpoint has ended, well before its
+own entry is removed.
 
-While the store is away, entries of endpoints that live may lapse. After it is
-back such an endpoint has some time to list itself again before it is taken as
-gone.
+While the store is unavailable, entries of live endpoints may lapse. After the
+store has returned, such an endpoint has some time to list itself again before
+it is removed.
 """
 
 import asyncio
@@ -31,26 +31,27 @@
 from wayslip.gateway import watcher
 
 _LOG = logging.getLogger(__name__)
-# An entry that lapsed is back within about two seconds of the store's return.
+# A lapsed entry is listed again within about two seconds of the store's return.
 _RELIST_SECONDS = 2.0
-# Engines' entries change with every adapter; a leaving endpoint is heard of
-# this much later, of two seconds that are allowed.
+# Engines' entries change with every adapter, so changes are read in batches. A
+# leaving endpoint becomes known this much later, of two seconds allowed.
 _PAUSE_AFTER_CHANGES_SECONDS = 0.25
-# An entry goes after three heartbeats of silence; that is told a moment later,
-# seconds.
+# An entry lapses after three missed heartbeats, and the removal is announced
+# some time later.
 _LAPSE_SECONDS = 6.0
 _MAX_DEPARTED = 1000
-# For so long after an outage a missing entry may have lapsed in it, seconds.
+# For this long after an outage, a missing entry may have lapsed in it.
 _OUTAGE_GRACE_SECONDS = 3.0
-# Entries told with one datagram; each takes 0.3 KB of the 30 KB it may have.
+# Entries in one datagram; each takes 0.3 KB of its 30 KB.
 _MAX_ENTRIES_PER_DATAGRAM = 60
 
 
 class EndpointFollower:
-    """Keeps the view in line with the list.
+    """Keeps the view consistent with the list.
 
     Args:
-        announce: Is given what changed; it is told to the others if we lead.
+        announce: Receives the changes; sends them to the other instances if
+            this one holds the lease.
         knows_service: Whether the configuration in force names a service.
     """
 
@@ -74,18 +75,20 @@
         self._on_gone = on_gone
         self._announce = announce
         self._listed: set[str] = set()
-        # Endpoints that have ended though they are listed; bounded by those.
+        # Endpoints that ended but are still listed; bounded by the list.
         self._replaced: set[str] = set()
         self._outage_ended = -_OUTAGE_GRACE_SECONDS
-        # Endpoints that left the list, as last known; the oldest are forgotten.
+        # Last known entries of endpoints that left the list; bounded, the
+        # oldest are removed first.
         self._departed: collections.OrderedDict[str, fleet.Endpoint] = (
             collections.OrderedDict()
         )
-        # Missing ones that have time to come back.
+        # Missing endpoints that have time to list themselves again.
         self._lapsed: set[str] = set()
-        # Departed ones that a copy lists again, until that is settled.
+        # Departed endpoints that a restored list contains, until it is known
+        # whether they are alive.
         self._withheld: dict[str, fleet.Endpoint] = {}
-        # The store's revision once the last known change was made.
+        # Revision of the store after the last known change.
         self.changed_at = 0
         self.watcher = watcher.Watcher(
             store,
@@ -106,7 +109,7 @@
     ) -> None:
         found = [item.value for item in listing.items]
         self._note_outage()
-        # What a copy lacks is written again, as after an outage.
+        # What a restored store lacks is written again, as after an outage.
         is_from_later_era = self._is_from_later_era(listing.revision)
         may_return = is_from_later_era or self._may_have_lapsed()
         if is_from_later_era:
@@ -114,10 +117,10 @@
         self._listed = {e.name for e in found}
         self._replaced &= self._listed
         self._add_to_view(found)
-        # One that has time to come back keeps it, though it is missing still.
+        # An endpoint within its time to return keeps it, though still missing.
         present = self._listed | self._lapsed
         missing = [n for n in self._view.tracked if n not in present]
-        # A whole list follows on whatever was known before.
+        # A whole list follows any earlier revision.
         self._announce_changes(0, listing.revision, found, missing, may_return)
         self._remove_missing(missing, may_return)
         self._on_change()
@@ -146,13 +149,13 @@
         self._add_to_view(found)
 
     def _add_to_view(self, endpoints: list[fleet.Endpoint]) -> None:
-        """Takes entries into the view, and out what they replace."""
+        """Adds entries to the view and removes the endpoints they replace."""
         known = {t.endpoint.address: n for n, t in self._view.tracked.items()}
         current = [e for e in endpoints if e.name not in self._replaced]
         for endpoint in current:
             before = known.get(endpoint.address, endpoint.name)
             is_new = endpoint.name not in self._view.tracked
-            # Another writer's entry may name any address.
+            # An entry of another writer may name any address.
             is_configured = self._knows_service(endpoint.service)
             if is_new and is_configured and before != endpoint.name:
                 self._replaced.add(before)
@@ -160,7 +163,8 @@
         for endpoint in current:
             tracked = self._view.tracked.get(endpoint.name)
             if tracked is not None and endpoint.succeeds(tracked.endpoint):
-                # Connections to the start before say nothing more.
+                # Connections to the earlier incarnation are no evidence any
+                # more.
                 self._remove(endpoint.name)
             self._departed.pop(endpoint.name, None)
             self._view.take(endpoint)
@@ -170,10 +174,10 @@
         self._replaced.discard(name)
         self._withheld.pop(name, None)
 
-    # A store that came back from a copy
+    # A store that was restored from a copy
 
     def _is_from_later_era(self, revision: int) -> bool:
-        """Whether a list is of a later era than what was known."""
+        """Whether a list is from a later era than the last one."""
         known = self.watcher.revision
         if known is None:
             return False
@@ -182,10 +186,10 @@
     def _withhold_departed(
         self, found: list[fleet.Endpoint]
     ) -> list[fleet.Endpoint]:
-        """Returns entries without those that left before the store lost it.
+        """Returns entries without those that left before the restore.
 
-        An endpoint that lives is listed still once an entry without heartbeats
-        would have lapsed.
+        A live endpoint is still listed after the time in which an entry without
+        heartbeats lapses.
         """
         withheld = {
             e.name: e
@@ -222,8 +226,8 @@
         for part in parts[:-1]:
             self._announce(facts.Changes(0, 0, 0, part))
         if len(parts) > 1:
-            # A part may get lost without anybody seeing it. So these follow
-            # on nothing, and whoever can reads the list.
+            # A part may be lost undetected. So these changes follow no known
+            # revision, and an instance that reaches the store reads the list.
             since = revision
         self.changed_at = max(self.changed_at, revision)
         self._announce(
@@ -237,10 +241,10 @@
             )
         )
 
-    # From and to other instances
+    # Announcements from and to other instances
 
     def apply_update(self, changes: facts.Changes) -> None:
-        """Takes in what the holder tells of the list."""
+        """Applies changes of the list that the lease holder announced."""
         revision = self.watcher.revision
         if (
             changes.revision
@@ -270,7 +274,7 @@
             self._remove_later(name)
         if changes.names:
             self._keep_only(changes.names)
-        # One that was missed shows in what the holder says of its revision.
+        # A missed change is detected by the revision in the holder's state.
         if (
             revision is not None
             and revision >= changes.since
@@ -286,12 +290,12 @@
             self._remove(name)
 
     def has_applied(self, revision: int) -> bool:
-        """Whether all changes up to a revision were taken in."""
+        """Whether all changes up to a revision were applied."""
         return (self.watcher.revision or 0) >= revision
 
     @property
     def lacks_list(self) -> bool:
-        """Whether we lack something of the list and can not read it."""
+        """Whether changes of the list are missing and can not be read."""
         if self.watcher.lost_since is None:
             return False
         return self.watcher.staleness.is_behind or not self.watcher.is_synced
@@ -316,7 +320,7 @@
         return clock.now() - self._outage_ended < _OUTAGE_GRACE_SECONDS
 
     def _remove_missing(self, names: list[str], may_return: bool) -> None:
-        """Takes endpoints out, now or when they had time to come back."""
+        """Removes endpoints, now or after their time to return."""
         for name in names:
             if may_return:
                 self._remove_later(name)
@@ -345,7 +349,7 @@
 
 
 def _split(endpoints: list[fleet.Endpoint]) -> list[tuple[facts.Listed, ...]]:
-    """Returns entries in parts, at least one, that fit into a datagram."""
+    """Returns entries in parts that fit into a datagram, at least one part."""
     return [
         tuple(
             facts.Listed.of(e)
--- a/src/wayslip/gateway/facts.py
+++ b/src/wayslip/gateway/facts.py
@@ -69,8 +69,8 @@
 
     Attributes:
         asked, used: Units since the process began.
-        known: Part of `used` that the lease holder had counted in the last
-            level that was received.
+        known: Part of `used` that the previous lease holder had counted in its
+            last level.
     """
 
     organisation: str
--- a/src/wayslip/gateway/placement.py
+++ b/src/wayslip/gateway/placement.py
@@ -1,4 +1,8 @@
-"""An instance's side of placement: tells the holder, hears its word."""
+"""An instance's part in placement: reports to the lease holder, applies states.
+
+The reports carry demand and load; the holder answers with states and placement
+updates.
+"""
 
 import asyncio
 import collections
@@ -23,25 +27,24 @@
 from wayslip.gateway import view as view_module
 
 _LOG = logging.getLogger(__name__)
-# Between reports to the holder, seconds. Load moves by a few requests in this
-# time; a report takes some 200 bytes.
+# Load changes by a few requests in this time; a report takes about 200 bytes.
 _REPORT_INTERVAL_SECONDS = 0.25
-# Reports that the holder takes a second, from all instances; each costs it
-# about 0.1 ms. A fleet that would send more reports less often.
+# Reports that the holder receives from all instances together; each costs it
+# about 0.1 ms. The instances of a larger fleet report less often.
 _MAX_REPORTS_PER_SECOND = 400
-# Reports a second while all instances answer the same state: 195 take 0.1 s,
-# and 80 KB of the holder's link.
+# Spreads the reports of all instances that answer the same state: those of 195
+# instances take 0.1 s, and 80 KB of the holder's link.
 _MAX_ANSWERS_PER_SECOND = 2000
-# A holder that was silent for this long is asked after in the store, seconds:
-# five reports in a row without an answer.
+# If no state was received for this long, the lease is read from the store: five
+# reports in a row were not answered.
 _SILENCE_SECONDS = 1.3
-# While it is silent it is asked after this often, seconds; `Leadership` spaces
+# Interval of these checks while the holder is unresponsive; `Leadership` limits
 # the calls themselves.
 _LEASE_CHECK_SECONDS = 0.25
-# A wish is repeated after this, in case its datagram was lost, seconds.
+# An item request is repeated after this, in case its datagram was lost.
 _REQUEST_INTERVAL_SECONDS = 0.15
-# Instances assumed before the holder has told how many there are; more than
-# either first user runs, so that shared budgets are not overdrawn.
+# Assumed until the holder announces the number of instances. It is higher than
+# in the first two deployments, so that shared budgets are not exceeded.
 _ASSUMED_INSTANCES = 12
 
 
@@ -77,33 +80,34 @@
         self._changed = asyncio.Event()
         self._requested_at: dict[tuple[str, str, str], float] = {}
         self._pending_loads: dict[tuple[str, str], float] = {}
-        # When items that were ordered can serve; bounded by their number.
+        # When ordered items can serve; bounded by the number of items.
         self._ready_at: dict[tuple[str, str], float] = {}
         self._state_received_at = 0.0
-        # When the holder last spoke, perhaps to say that it can not renew.
+        # Last contact, which may be a state that says renewal is overdue.
         self._last_contact_at = 0.0
-        # The holder's last state; each report answers it.
+        # Last state of the holder; each report answers it.
         self._last_state: facts.State | None = None
-        # Set when the next report must not wait for its time.
+        # Set when the next report must be sent before its time.
         self._is_report_due = asyncio.Event()
         self._is_leaving = False
         self.instances = _ASSUMED_INSTANCES
 
     @property
     def state_age(self) -> float:
-        """Seconds since the holder's load of endpoints was last heard."""
+        """Seconds since the last state of a holder with a valid lease."""
         return clock.now() - self._state_received_at
 
     @property
     def has_recent_state(self) -> bool:
-        """Whether the lease's holder was heard a moment ago."""
+        """Whether a state of a valid lease holder was received recently."""
         return self.state_age <= _SILENCE_SECONDS
 
     @property
     def has_recent_contact(self) -> bool:
-        """Whether the holder, or one that can not renew, spoke a moment ago.
+        """Whether any state was received recently, of a valid holder or not.
 
-        It goes on trying and tells of what it learns.
+        A holder whose renewal is overdue keeps trying, and announces what it
+        learns.
         """
         return clock.now() - self._last_contact_at <= _SILENCE_SECONDS
 
@@ -119,9 +123,9 @@
         """Counts a request for a model.
 
         Args:
-            service: Of its route.
-            traits: Of the request.
-            work: Seconds that an engine takes to read its prompt.
+            service: Service of its route.
+            traits: Traits of the request.
+            work: Seconds of prefill of its prompt.
             will_wait: Whether its client can wait for a load.
         """
         if not traits.model:
@@ -134,10 +138,10 @@
     async def request_item(
         self, service: str, traits: dialect.Traits, seconds: float
     ) -> bool:
-        """Asks for a model and waits for any news of endpoints.
+        """Requests a model from the holder and waits for a change of endpoints.
 
         Returns:
-            Whether news came; the caller looks again then.
+            Whether the caller should look for an endpoint again.
         """
         holder = self._leadership.holder_address
         if holder is None:
@@ -170,11 +174,11 @@
         return None if arrival is None else max(arrival - now, 0.0)
 
     def estimate_unreported_work(self, service: str, model: str) -> float:
-        """Returns the work that comes for a model before all know of it.
+        """Returns the work of requests for a model that is not announced yet.
 
         Returns:
-            Seconds of reading, from all instances, in the time that a request
-            takes at most to come back to them in the holder's state.
+            Seconds of prefill, from all instances, in the longest time until a
+            request is reported and appears in the holder's state.
         """
         if not model:
             return 0.0
@@ -186,19 +190,20 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    # Telling and hearing
+    # Reports to the holder and its states
 
     async def run(self) -> None:
-        """Reports until it is cancelled."""
+        """Reports until cancelled."""
         while True:
             await self._wait_to_report()
             self._report()
 
     async def watch_holder(self) -> None:
-        """Has the lease looked at once its holder is silent, for ever.
+        """Triggers checks of the lease while its holder is unresponsive.
 
-        All instances find that out together, so that those with more
-        processor and link, which wait less, take the lease.
+        All instances detect this at the same time, so that those with more
+        processor time and bandwidth, which wait less, take the lease. It runs
+        until cancelled.
         """
         while True:
             left = self._state_received_at + _SILENCE_SECONDS - clock.now()
@@ -207,20 +212,20 @@
             await asyncio.sleep(max(left, _LEASE_CHECK_SECONDS))
 
     async def _wait_to_report(self) -> None:
-        """Waits for the next report's time, or for a reason to give it now."""
+        """Waits until the next report is due or must be sent early."""
         try:
             async with asyncio.timeout(self._find_report_seconds()):
                 await self._is_report_due.wait()
         except TimeoutError:
             return
-        # Not all at the same moment: their datagrams meet at one link.
+        # Spread in time, because all datagrams arrive at one link.
         await asyncio.sleep(
             random.uniform(0, self.instances / _MAX_ANSWERS_PER_SECOND)
         )
         self._is_report_due.clear()
 
     def report_soon(self) -> None:
-        """Has the next report given soon, because the holder waits for it."""
+        """Sends the next report early, because the holder waits for it."""
         self._is_report_due.set()
 
     def _find_report_seconds(self) -> float:
@@ -269,12 +274,12 @@
         self._hub.send(report, addresses.split_address(holder))
 
     def announce_leaving(self) -> None:
-        """Tells the holder that this instance stops as planned."""
+        """Reports to the holder that this instance is shutting down."""
         self._is_leaving = True
         self._report()
 
     def apply_state(self, state: facts.State) -> None:
-        """Takes in what the holder tells all the time."""
+        """Applies a periodic state of the lease holder."""
         known = self._leadership.seen_term
         if state.term < known:
             return
@@ -300,7 +305,7 @@
     def apply_placement_update(
         self, placement_update: facts.PlacementUpdate
     ) -> None:
-        """Takes in what is loaded, taken away or coming."""
+        """Applies loaded and removed items and pending loads."""
         if placement_update.term < self._leadership.seen_term:
             return
         for update in placement_update.updates:
@@ -320,8 +325,8 @@
             if total is None:
                 tracked.others = (0, backlog.EMPTY)
                 continue
-            # Our own part of the total is as old as the total, ours is not;
-            # the difference is what others have there.
+            # The total includes this instance's share as of the last report,
+            # which may differ from the current one; the rest is from others.
             tracked.others = (
                 max(total.in_flight - tracked.in_flight, 0),
                 backlog.subtract(total.backlog, tracked.unread),
@@ -354,10 +359,10 @@
 
 
 def _is_answered_at_once(last: facts.State | None, state: facts.State) -> bool:
-    """Whether the holder needs to know at once that a state was heard.
+    """Whether the holder needs the answer to a state at once.
 
-    A holder that proposes to go on without the store waits until all have
-    heard so. With the usual reports that takes 0.5 s and more.
+    A holder that proposes detached operation waits until all instances have
+    received the proposal. With periodic reports this takes 0.5 s and more.
     """
     if last is None or last.term != state.term:
         return True
--- a/src/wayslip/gateway/staleness.py
+++ b/src/wayslip/gateway/staleness.py
@@ -1,10 +1,10 @@
-"""How long an instance may go by the lease holder's word of the store.
+"""How long an instance may rely on the lease holder's view of the store.
 
 Calls to the store are priced and limited, and they would grow with the fleet.
-So only the lease's holder watches the store, and tells the others what it
-sees and how old that is. An instance reads for itself as soon as that word
-is too old, or when it lacks a change that the holder has told and does not
-tell again.
+So only the lease holder watches the store, and announces to the others what it
+observes and how old that is. An instance reads the store itself when these
+announcements are too old, or when it lacks a change that the holder announced
+and does not send again.
 """
 
 import asyncio
@@ -14,25 +14,25 @@
 
 from wayslip import clock
 
-# Instances that miss the same change read at different times, seconds.
+# Spreads the reads of instances that miss the same change.
 _MAX_JITTER_SECONDS = 0.15
-# What a new instance read first, which may be old, is enough for so long:
-# until its first report is answered and it hears the holder, seconds.
+# How long the first read of a new instance, which may be stale, is sufficient:
+# until its first report is answered and it receives the holder's state.
 _STALE_READ_SECONDS = 1.0
 
 
 class Staleness:
-    """The age of the holder's word of one kind of objects.
+    """Age of the lease holder's announcements for one kind of objects.
 
     Args:
-        limit: Word older than this is not enough, seconds.
-        leads: Whether this instance is the one that watches.
-        obtain: Has other instances give what is missing; returns once it is
-            there or is no longer waited for.
+        limit: Announcements older than this are not sufficient, seconds.
+        leads: Whether this instance holds the lease and watches the store.
+        obtain: Obtains what is missing from other instances; returns once it
+            has arrived or its time is over.
 
     Attributes:
         limit: The same.
-        is_behind: Whether a change was told of that did not arrive.
+        is_behind: Whether an announced change has not arrived.
     """
 
     def __init__(
@@ -50,11 +50,12 @@
         self.is_behind = False
 
     def note_announcement(self, age: float, is_complete: bool) -> None:
-        """Takes in how old the holder's view is.
+        """Records how old the holder's view is.
 
         Args:
             age: Seconds since the store last answered the holder's watch.
-            is_complete: Whether we have all changes that the holder has.
+            is_complete: Whether this instance has all changes that the holder
+                has.
         """
         self._current_at = max(self._current_at, clock.now() - age)
         self._updated.set()
@@ -65,54 +66,54 @@
             self._woken.set()
 
     def note_read(self, seen_at: float) -> None:
-        """Notes that this instance has read the store itself.
+        """Records that this instance has read the store itself.
 
         Args:
-            seen_at: The time up to which it took everything in, steady seconds.
+            seen_at: All changes up to this time were applied, steady seconds.
         """
         self._current_at = max(self._current_at, seen_at)
         self.is_behind = False
 
     def note_stale_read(self) -> None:
-        """Notes a read whose answer may be old, and proves nothing.
+        """Records a read whose answer may be stale and confirms nothing.
 
-        If it lacks what the holder has told, the next word says so again.
+        If it lacks an announced change, the next announcement shows this again.
         """
         enough = clock.now() - self.limit + _STALE_READ_SECONDS
         self._current_at = max(self._current_at, enough)
         self.is_behind = False
 
     def note_complete(self) -> None:
-        """Notes that nothing is missing of what the holder told of."""
+        """Records that no announced change is missing."""
         self.is_behind = False
 
     def wake(self) -> None:
-        """Has the loop look again, because this instance may lead now."""
+        """Wakes the waiting tasks, because this instance may lead now."""
         self._woken.set()
         self._updated.set()
 
     @property
     def leads(self) -> bool:
-        """Whether this instance is the one that watches."""
+        """Whether this instance holds the lease and watches the store."""
         return self._leads()
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the holder's word is enough now."""
+        """Whether the holder's announcements are sufficient now."""
         return self.has_recent_update and not self.is_behind
 
     @property
     def has_recent_update(self) -> bool:
-        """Whether this instance follows, and the holder's word is new."""
+        """Whether another instance leads and announced its view recently."""
         age = clock.now() - self._current_at
         return not self._leads() and age < self.limit
 
     async def wait_for_update(self, seconds: float) -> None:
-        """Returns when the holder's word is new enough, or after a while.
+        """Returns when an announcement is recent enough, or after a time limit.
 
-        What it tells of may still be lacking; the store answers again then.
-        An instance that comes to lead meanwhile does not wait on: all others
-        would be without word for as long.
+        The changes that it announces may still be missing; by then the store
+        answers again. If this instance becomes the leader meanwhile, it stops
+        waiting, because all others would miss its announcements for as long.
         """
         was_leading = self._leads()
         try:
@@ -126,7 +127,7 @@
             pass
 
     async def wait_until_needed(self) -> None:
-        """Returns when this instance has to read for itself."""
+        """Returns when this instance has to read the store itself."""
         while True:
             if self.is_behind and not self._leads():
                 await self.ask_others()
@@ -141,7 +142,7 @@
                 pass
 
     async def ask_others(self) -> None:
-        """Has other instances give what is missing, if they can."""
+        """Obtains missing changes from other instances, if possible."""
         if self._obtain is not None:
             await self._obtain()
         if self.is_behind:
--- a/src/wayslip/gateway/watcher.py
+++ b/src/wayslip/gateway/watcher.py
@@ -1,6 +1,6 @@
-"""Follows the objects of one kind: a list, then its changes, for ever.
+"""Follows the objects of one kind: a list, then its changes, until cancelled.
 
-It reads only while its currency says that it has to.
+It reads the store only while its `Staleness` requires this.
 """
 
 import asyncio
@@ -22,49 +22,50 @@
 _LOG = logging.getLogger(__name__)
 T = TypeVar("T")
 
-# Between calls while the store does not answer, seconds: a tenth of the time
-# after which a configuration must be in force again.
+# Delay between calls while the store does not answer: about a tenth of the time
+# within which a configuration must be in force again.
 _MIN_RETRY_SECONDS = 0.25
 _MAX_RETRY_SECONDS = 0.6
-# How long a watch waits that should not wait, seconds.
+# Wait of a watch that should return at once.
 _POLL_WAIT_SECONDS = 0.001
-# Less than this is not waited for: sums of times are not exact, seconds.
+# Shorter waits are skipped, because sums of times are not exact.
 _TICK_SECONDS = 0.001
-# Where one that may be old did not have what is lacking, none is read again
-# within this time, seconds: the store's copies are some seconds behind at most.
+# After a stale read that did not contain the missing change, no other stale
+# read is made within this time: the store's copies are at most some seconds
+# behind.
 _STALE_SECONDS = 5.0
-# Objects that can not be read whose last change is remembered, so that each is
-# logged once; with more of them some are logged again.
+# Invalid objects whose last revision is remembered, so that each is logged
+# once; with more of them some are logged again.
 _MAX_REFUSED = 1000
 
 
 class Watcher(Generic[T]):
-    """Follows one kind and tells of lists and changes.
+    """Follows one kind of objects and reports lists and changes.
 
     Args:
         store: Where to read.
         kind: What to follow.
-        staleness: Says when reading is needed.
-        on_list: Is given every whole list.
-        on_changes: Is given changes.
+        staleness: Determines when reading is needed.
+        on_list: Receives every whole list.
+        on_changes: Receives changes.
         wait: How long a watch waits, seconds; see `Bounds.watch`.
-        find_pause: Returns the seconds to wait before an attempt that others
-            make too; given what one instance alone would wait.
-        metrics: Where objects that can not be read are counted.
+        find_pause: Returns the seconds to wait before an attempt that other
+            instances make too; its argument is the wait of a single instance.
+        metrics: Where objects that can not be decoded are counted.
         pause_after_changes: Seconds to wait after changes, so that one call
             returns several of them; calls are priced.
         relists_after_gap: Whether to read the whole list, instead of all
             changes, after a time without reading.
-        on_read: Is given when a read of the newest was sent, steady seconds,
-            and the objects that could not be read, once its answer is taken
-            in.
+        on_read: Receives the steady time at which a read of the newest state
+            was sent and the names of invalid objects, after the answer was
+            applied.
 
     Attributes:
-        revision: Up to which everything was taken in, None before a list.
+        revision: All changes up to this were applied, None before a list.
         is_synced: Whether a list was read.
-        lost_since: When the store stopped answering, None while it does.
-        seen_at: The time up to which everything was taken in, steady seconds. A
-            large answer is older than its end by the seconds that it took.
+        lost_since: When the store stopped answering, None while it answers.
+        seen_at: All changes up to this time were applied, steady seconds. The
+            transfer time of a large answer counts towards its age.
     """
 
     def __init__(
@@ -96,7 +97,7 @@
         self._on_read = on_read
         self._must_list = True
         self._read_stale_at = float("-inf")
-        # Objects that can not be read: their revision when it was logged.
+        # Revisions of invalid objects at the time they were logged.
         self._refused: dict[str, int] = {}
         self.revision: int | None = None
         self.is_synced = False
@@ -105,24 +106,24 @@
 
     @property
     def age(self) -> float:
-        """Seconds since what was taken in was all there is."""
+        """Seconds since the applied state was known to be complete."""
         return clock.now() - self.seen_at
 
     @property
     def is_current(self) -> bool:
-        """Whether what was taken in is known to be all there is."""
+        """Whether the applied state is known to be complete now."""
         if self.staleness.leads:
             return self.age < self.staleness.limit
         return self.staleness.is_fresh
 
     async def run(self) -> None:
-        """Follows until it is cancelled."""
+        """Follows the objects until cancelled."""
         pause = _MIN_RETRY_SECONDS
         while True:
             if self.staleness.has_recent_update and self.staleness.is_behind:
                 await self.staleness.ask_others()
             if self.staleness.is_fresh:
-                # Another instance reaches the store for us.
+                # Another instance reaches the store on this one's behalf.
                 self._note_regained()
                 self._must_list |= self._relists_after_gap
                 await self.staleness.wait_until_needed()
@@ -138,17 +139,18 @@
                 pause = min(pause * 1.5, _MAX_RETRY_SECONDS)
 
     async def _wait_to_retry(self, pause: float) -> None:
-        """Waits before the next attempt, for as long as it is not needed.
+        """Waits before the next attempt, and longer while it is not needed.
 
-        Who leads is the first to see the store again, and tells the others.
-        They leave it to it while they hear it and it sees no more than they
-        do. Once its word is new again they may lack what it tells of.
+        The lease holder is the first to reach the store again, and announces
+        it. The other instances leave the attempts to it while they receive its
+        state and it knows no more than they do. Once its state is recent again,
+        they may lack changes that it announces.
         """
         began = clock.now()
         draw = random.uniform(0.7, 1.0)
         await asyncio.sleep(pause * draw)
         while not (self.staleness.leads or self.staleness.has_recent_update):
-            # Looked up again, since the holder may have fallen silent.
+            # Computed anew, since the holder may have become unresponsive.
             end = began + self._find_pause(pause) * draw
             left = end - clock.now()
             if left < _TICK_SECONDS:
@@ -156,7 +158,7 @@
             await self.staleness.wait_for_update(min(left, pause))
 
     async def read_now(self) -> None:
-        """Reads the newest now, whatever was heard of it.
+        """Reads the newest state now, whatever was announced.
 
         Raises:
             ObjectError: The store did not answer.
@@ -184,13 +186,13 @@
         self.seen_at = seen_at
 
     def _may_be_stale(self) -> bool:
-        """Whether an answer that may be old is likely to be enough.
+        """Whether a stale answer is likely to be enough.
 
-        It is where only the content is lacking, because the holder says what
-        is the newest, and for the first answer after a start: the holder's
-        word follows within a moment. Of 30 instances that start together, or
-        miss a change, 10 and 2 lists at most are then asked for the newest
-        instead of 62 and 29.
+        It is enough if only the content is missing, because the holder
+        announces which revision is the newest, and for the first read after a
+        start, because the holder's state follows within a second. For 30
+        instances that start together this makes at most 10 reads of the newest
+        list instead of 62; for 30 that miss a change, 2 instead of 29.
         """
         if self.staleness.leads:
             return False
@@ -199,7 +201,7 @@
         return lacks_content and age > _STALE_SECONDS
 
     async def _list(self, may_be_stale: bool) -> float:
-        """Takes the list in; returns the time up to which it is complete."""
+        """Applies the list; returns the time up to which it is complete."""
         listing = await self._store.list(self._kind, may_be_stale)
         listed = {r.name for r in listing.refused}
         self._refused = {n: r for n, r in self._refused.items() if n in listed}
@@ -213,8 +215,8 @@
         return listing.seen_at
 
     async def _watch(self, revision: int) -> float:
-        """Takes changes in; returns the time up to which they are complete."""
-        # Only who leads waits for changes; the others look now and then.
+        """Applies changes; returns the time up to which they are complete."""
+        # Only the lease holder waits for changes; other instances poll.
         wait = self._wait if self.staleness.leads else _POLL_WAIT_SECONDS
         changes = await self._store.watch(self._kind, revision, wait)
         for change in changes.items:
@@ -222,7 +224,7 @@
         self._note_refused(changes.refused)
         if changes.items:
             self._on_changes(changes)
-        # What the holder told meanwhile may be newer than this answer.
+        # The holder may have announced a later revision meanwhile.
         self.revision = max(self.revision or 0, changes.revision)
         self._on_read(changes.asked_at, self._refused.keys())
         if changes.items and self._pause_after_changes:
@@ -230,7 +232,7 @@
         return changes.seen_at
 
     def _note_refused(self, refused: Iterable[store_module.Refused]) -> None:
-        """Logs and counts objects that can not be read, once for a change."""
+        """Logs and counts invalid objects, once for each of their changes."""
         for one in refused:
             if self._refused.get(one.name) == one.revision:
                 continue
