--- a/src/wayslip/gateway/configuration_sync.py
+++ b/src/wayslip/gateway/configuration_sync.py
@@ -1,7 +1,7 @@
-"""Keeps the configuration in force the newest, and knows whether it is.
+"""Keeps the newest configuration in force, and knows whether it is the newest.
 
-It is read from the store, handed on between instances, and confirmed by those
-that the store answers; see `watching`, `distribution` and `confirming`.
+It is read from the store, copied between instances, and confirmed by instances
+that reach the store; see `watcher`, `distribution` and `confirmations`.
 """
 
 from collections.abc import Callable
@@ -24,18 +24,18 @@
 from wayslip.gateway import store as store_module
 from wayslip.gateway import watcher
 
-# What a store that comes back from a copy has lost is written again within
-# this, seconds; entries of endpoints take as long.
+# What a restored store has lost is written again within this time; entries of
+# endpoints take as long.
 _REWRITE_SECONDS = 2.0
 
 
 class ConfigurationSync:
-    """What an instance does to hold the newest configuration.
+    """Keeps the configuration of an instance synchronized with the newest.
 
     Attributes:
         watcher: Reads the store.
-        distribution: Hands copies on and asks for them.
-        confirmations: Has what is held confirmed as the newest.
+        distribution: Serves copies and requests them.
+        confirmations: Has the configuration in force confirmed as the newest.
     """
 
     def __init__(
@@ -51,31 +51,32 @@
         members: members_module.Members,
         find_pause: Callable[[float], float],
         metrics: metrics_module.Metrics,
-        on_own: Callable[[], None],
+        on_new_configuration: Callable[[], None],
     ) -> None:
         """Initializes without a configuration.
 
         Args:
-            options: Of this instance.
-            store: Where the configuration lies.
-            kind: Of its object.
-            name: Of its object.
-            holder: Of the configuration in force.
-            copies: Asks other instances for theirs.
+            options: Options of this instance.
+            store: Store that has the configuration.
+            kind: Kind of its object.
+            name: Name of its object.
+            holder: Holds the configuration in force.
+            copies: Requests copies from other instances.
             hub: Sends to other instances.
-            leadership: Of the lease.
-            members: Know where the other instances are.
+            leadership: Knows the lease and its holder.
+            members: Know the addresses of the other instances.
             find_pause: See `watcher.Watcher`.
             metrics: Where reads and copies are counted.
-            on_own: Called once a newer one that we read is in force.
+            on_new_configuration: Called when this instance has read a newer
+                configuration from the store and put it in force.
         """
         self._name = name
         self._holder = holder
-        self._on_own = on_own
-        # The version that the store has, as last read.
+        self._on_new_configuration = on_new_configuration
+        # Version in the store when it was last read.
         self._read_version = 0
-        # Until then the store may lack what it came back without.
-        self._rewritten_at = float("-inf")
+        # Until this time a restored store may lack its last changes.
+        self._may_lack_until = float("-inf")
         store.on_return(self._note_return)
         self.distribution = distribution_module.Distribution(
             options,
@@ -89,14 +90,16 @@
             store,
             kind,
             staleness_module.Staleness(
-                options.bounds.word, lambda: leadership.is_held, self._obtain
+                options.bounds.max_staleness,
+                lambda: leadership.is_held,
+                self._obtain,
             ),
-            self._take_list,
-            self._take_changes,
+            self._apply_list,
+            self._apply_changes,
             options.bounds.watch,
             find_pause,
             metrics,
-            lists_anew=True,
+            relists_after_gap=True,
             on_read=self._note_read,
         )
         self.confirmations = confirmations.Confirmations(
@@ -105,13 +108,13 @@
             hub,
             lambda: leadership.holder_address,
             members.list_addresses,
-            self._take_word,
-            self.watcher.look,
+            self._apply_peer_version,
+            self.watcher.read_now,
         )
 
     @property
-    def sight(self) -> access.ConfigurationStatus:
-        """What is known of the configuration in force."""
+    def status(self) -> access.ConfigurationStatus:
+        """Whether the configuration in force is reliable and the newest."""
         is_newest = self.watcher.is_current and not self._may_lack
         return access.ConfigurationStatus(
             self.confirmations.is_reliable, is_newest
@@ -119,58 +122,60 @@
 
     @property
     def _may_lack(self) -> bool:
-        """Whether the store may lack a configuration that it has lost."""
-        return clock.now() < self._rewritten_at
+        """Whether the store may have lost the newest configuration."""
+        return clock.now() < self._may_lack_until
 
     def _note_return(self) -> None:
-        self._rewritten_at = clock.now() + _REWRITE_SECONDS
+        self._may_lack_until = clock.now() + _REWRITE_SECONDS
 
     @property
-    def seen(self) -> facts.WatchProgress:
-        """How far it is followed, as the lease's holder tells it."""
+    def progress(self) -> facts.WatchProgress:
+        """How far the configuration is followed, for announcements."""
         return facts.WatchProgress(self._holder.version or 0, self.watcher.age)
 
-    def apply_update(self, told: facts.WatchProgress) -> None:
-        """Takes in how far the lease's holder follows it."""
-        self._take_word(told.revision, told.age)
+    def apply_update(self, announced: facts.WatchProgress) -> None:
+        """Applies how far the lease holder follows the configuration."""
+        self._apply_peer_version(announced.revision, announced.age)
 
-    def _take_word(self, version: int, age: float) -> None:
-        """Takes in which version another instance has as the newest."""
-        self.distribution.hear(version)
-        self.watcher.staleness.hear(age, not self.distribution.is_behind)
+    def _apply_peer_version(self, version: int, age: float) -> None:
+        """Applies which version another instance has as the newest."""
+        self.distribution.note_announcement(version)
+        self.watcher.staleness.note_announcement(
+            age, not self.distribution.is_behind
+        )
 
     async def _obtain(self) -> None:
-        """Asks other instances for the configuration that we lack."""
+        """Asks other instances for the missing configuration."""
         await self.distribution.obtain()
         if not self.distribution.is_behind:
             self.watcher.staleness.note_complete()
 
     # From the store
 
-    def _take_list(
+    def _apply_list(
         self, listing: store_module.Listing[manifest.Manifest]
     ) -> None:
         for item in listing.items:
             if item.name == self._name:
-                self._take(item.value)
+                self._apply(item.value)
 
-    def _take_changes(
+    def _apply_changes(
         self, changes: store_module.Changes[manifest.Manifest]
     ) -> None:
         for change in changes.items:
             if change.name == self._name and change.value is not None:
-                self._take(change.value)
+                self._apply(change.value)
 
-    def _take(self, value: manifest.Manifest) -> None:
+    def _apply(self, value: manifest.Manifest) -> None:
         self._read_version = value.version
         if self._holder.offer(value):
-            self._on_own()
+            self._on_new_configuration()
 
     def _note_read(self, asked_at: float, refused: Set[str]) -> None:
-        """Notes a read of the store, unless it proves nothing.
+        """Records a read of the store, unless it confirms nothing.
 
-        It does not where our object could not be read, or where the store may
-        have lost a later one.
+        This is so if the object of the configuration could not be decoded, or
+        if the store may have lost a later one.
         """
         is_older = self._read_version < (self._holder.version or 0)
         if self._name in refused or self._may_lack or is_older:
--- a/src/wayslip/gateway/daemon.py
+++ b/src/wayslip/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway put together, with its planned stop."""
+"""Assembles the gateway, runs it and shuts it down."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -45,24 +45,24 @@
 from wayslip.http1 import server
 
 _LOG = logging.getLogger(__name__)
-# The balancer asks every second and takes an instance out after two misses;
-# until then new connections still come, seconds.
+# The balancer probes every second and removes an instance after two failures;
+# until then new connections still arrive.
 _BALANCER_SECONDS = 3.0
-# Left of the grace time for breaking off what did not end, seconds.
-_LAST_SECONDS = 0.4
-_STOP_STEP = 0.1
-# A change of the list may still be on its way, after the word that it exists;
-# what is this late was lost, and is asked for again, seconds.
-_BEHIND_SECONDS = 0.12
-# How long the holder's answer to that may take, seconds: two trips and a lost
-# packet's turn on a link that is full.
+# Part of the grace time reserved for aborting unfinished requests.
+_ABORT_SECONDS = 0.4
+_STOP_POLL_SECONDS = 0.1
+# A change of the list may arrive later than the announcement that it exists.
+# After this time it is considered lost and is requested again.
+_LATE_CHANGE_SECONDS = 0.12
+# Wait for the holder's answer to that request: two trips, and a retransmission
+# on a busy link.
 _ANSWER_SECONDS = 0.2
 _TEXT = ((b"content-type", b"text/plain; charset=utf-8"),)
 
 
 @dataclasses.dataclass(frozen=True)
 class Platform:
-    """What an adapter supplies: clients, kinds of objects and a dialect."""
+    """What a platform adapter supplies: clients, kinds of objects, dialect."""
 
     store: store_module.Store
     dialect: dialect_module.Dialect
@@ -74,7 +74,7 @@
 
 
 class Gateway:
-    """One instance: callers' requests, and placement while it has the lease."""
+    """One instance: serves callers, and plans placement if it has the lease."""
 
     def __init__(
         self, options: options_module.Options, platform: Platform
@@ -84,7 +84,7 @@
         self.metrics = metrics_module.Metrics()
         self.holder = configuration.Holder()
         self.view = view_module.EndpointView(options.data_hall)
-        self._hub = hub_module.Hub(self._take_message, self.metrics)
+        self._hub = hub_module.Hub(self._handle_message, self.metrics)
         self.leadership = leadership_module.Leadership(
             options,
             platform.store,
@@ -155,7 +155,7 @@
             self._hub,
             self.leadership,
             self._peer_broadcast,
-            lambda: self._placement.hears_holder,
+            lambda: self._placement.has_recent_state,
             lambda: self._placement.instances,
         )
         self._order_sender.may_call = self._permit_broker.may_call
@@ -166,7 +166,7 @@
             self.view,
             self._placement,
             self.metrics,
-            lambda: self._configuration_sync.sight,
+            lambda: self._configuration_sync.status,
             limiter,
             self._quarantine,
             self._report_leaving,
@@ -184,13 +184,13 @@
             members,
             self._find_pause,
             self.metrics,
-            self._tell_own_configuration,
+            self._announce_own_configuration,
         )
         self._endpoints = endpoint_follower.EndpointFollower(
             platform.store,
             platform.endpoints,
             staleness.Staleness(
-                options.bounds.word,
+                options.bounds.max_staleness,
                 lambda: self.leadership.is_held,
                 self._obtain_changes,
             ),
@@ -233,19 +233,19 @@
         )
 
     def _report_leaving(self, endpoint: fleet.Endpoint) -> None:
-        """Takes in and tells that an endpoint says it takes no new work.
+        """Records and broadcasts that an endpoint stated that it is leaving.
 
-        The list may say so seconds later, and not at all while the store is
-        away; the others and the planner are to know it as soon.
+        The list may show this seconds later, and not at all while the store is
+        unavailable. The other instances and the planner must know it at once.
         """
         if self.view.note_leaving(endpoint.incarnation, self._options.name):
-            told = facts.Leaving(endpoint.name, endpoint.born)
-            self._peer_broadcast.spread(told)
+            message = facts.Leaving(endpoint.name, endpoint.born)
+            self._peer_broadcast.broadcast(message)
             self._placement.notify()
 
     async def _obtain_changes(self) -> None:
-        """Waits for changes of the list that are late, then asks for them."""
-        await asyncio.sleep(_BEHIND_SECONDS)
+        """Waits for late changes of the list, then requests them."""
+        await asyncio.sleep(_LATE_CHANGE_SECONDS)
         if not self._endpoints.watcher.staleness.is_behind:
             return
         self._ask_for_changes()
@@ -262,11 +262,11 @@
     # Running
 
     async def run(self) -> None:
-        """Runs until SIGTERM or SIGINT, then stops as planned."""
+        """Runs until SIGTERM or SIGINT, then shuts down."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stopping.set)
         loop.add_signal_handler(signal.SIGINT, self._stopping.set)
-        # Everything that may change at run time comes from the store.
+        # All settings that may change at run time come from the store.
         loop.add_signal_handler(signal.SIGHUP, self._note_reload)
         await self._hub.start(addresses.split_address(self._options.peers))
         await self._readiness.start()
@@ -300,10 +300,10 @@
         self._tasks.append(task)
 
     def _check_task(self, task: asyncio.Task[None]) -> None:
-        """Stops the process if a loop ended that must not end.
+        """Stops the process if a task ended that must run until the end.
 
-        Without it the process would go on as if nothing had happened; the
-        platform starts it again.
+        Otherwise the process would continue without that task; the platform
+        restarts it.
         """
         if task.cancelled() or self._stopping.is_set():
             return
@@ -320,17 +320,17 @@
         self._placement.announce_leaving()
         if self.leadership.is_held:
             await self.leadership.release()
-            # Says that nobody plans now, so that another instance begins
-            # before it would find that out.
+            # Announces that the lease is released, so that another instance
+            # takes it before it would detect this itself.
             self._announcer.announce_state(self._find_store_progress())
-        limit = began + self._options.bounds.grace - _LAST_SECONDS
+        limit = began + self._options.bounds.grace - _ABORT_SECONDS
         while clock.now() < limit:
             if clock.now() - began >= _BALANCER_SECONDS:
                 self._callers.stop_listening()
                 self._callers.close_idle()
                 if not self._callers.active:
                     break
-            await asyncio.sleep(_STOP_STEP)
+            await asyncio.sleep(_STOP_POLL_SECONDS)
         logs.event(
             _LOG,
             "stopped",
@@ -346,10 +346,10 @@
 
     # Configuration, lease and peers
 
-    def _tell_own_configuration(self) -> None:
-        """Tells of a configuration that we read, if we lead, at once.
+    def _announce_own_configuration(self) -> None:
+        """Announces a newly read configuration at once if the lease is held.
 
-        With the next state it would be heard of up to 0.25 s later.
+        With the next periodic state it would be known up to 0.25 s later.
         """
         if self.leadership.is_held:
             self._announcer.announce_state(self._find_store_progress())
@@ -360,8 +360,8 @@
         self._planner.begin()
         self._permit_broker.begin_term()
         self._quarantine.begin_term()
-        # Everybody hears at once whom to report to, the holder before us too:
-        # it may be cut off from the store.
+        # Announces at once where to report. The previous holder must receive
+        # this too, since it may be disconnected from the store.
         self._announcer.announce_state(self._find_store_progress())
 
     def _end_term(self) -> None:
@@ -369,22 +369,22 @@
 
     def _find_store_progress(self) -> announcements.StoreProgress:
         return announcements.StoreProgress(
-            self._configuration_sync.seen,
+            self._configuration_sync.progress,
             facts.WatchProgress(
                 self._endpoints.changed_at, self._endpoints.watcher.age
             ),
         )
 
-    def _take_message(
+    def _handle_message(
         self, message: facts.Message, source: hub_module.Address
     ) -> None:
         if isinstance(message, facts.State):
-            self._placement.take(message)
+            self._placement.apply_state(message)
             self._apply_store_progress(message)
         elif isinstance(message, facts.PlacementUpdate):
             self._placement.apply_placement_update(message)
         elif isinstance(message, facts.Changes):
-            # An earlier holder's may be late, and lack what is there now.
+            # Changes from an earlier holder may be late and incomplete.
             if message.term >= self.leadership.seen_term:
                 self._endpoints.apply_update(message)
         elif isinstance(message, facts.Missing):
@@ -392,11 +392,11 @@
         elif isinstance(message, facts.Confirm):
             self._configuration_sync.confirmations.answer(message, source)
         elif isinstance(message, facts.Confirmed):
-            self._configuration_sync.confirmations.take(message)
+            self._configuration_sync.confirmations.apply_answer(message)
         elif isinstance(message, facts.Leaving):
             start = fleet.Incarnation(message.endpoint, message.born)
             if self.view.note_leaving(start, source[0]):
-                self._peer_broadcast.pass_on(message)
+                self._peer_broadcast.forward_as_holder(message)
         elif isinstance(message, facts.Limited):
             self._permit_broker.apply_update(message, source[0])
         elif isinstance(message, facts.PermitRequest):
@@ -413,15 +413,15 @@
         if state.term < self.leadership.seen_term:
             return
         self._configuration_sync.apply_update(state.configuration)
-        told = state.endpoints
-        self._endpoints.watcher.staleness.hear(
-            told.age, self._endpoints.has(told.revision)
+        progress = state.endpoints
+        self._endpoints.watcher.staleness.note_announcement(
+            progress.age, self._endpoints.has_applied(progress.revision)
         )
 
     # Answers to the balancer and to operators
 
     def is_ready(self) -> bool:
-        """Whether the balancer should send clients here."""
+        """Whether the balancer should send clients to this instance."""
         return (
             not self._stopping.is_set()
             and self.holder.manifest is not None
@@ -433,12 +433,12 @@
         exchange.answer(status, _TEXT, b"")
 
     def dump(self) -> dict[str, object]:
-        """Returns the state of this process."""
+        """Returns the state of this process for operators."""
         return {
             "instance": self._options.name,
             "ready": self.is_ready(),
             "configuration": self.holder.version,
-            "configuration_told": self._configuration_sync.distribution.told,
+            "configuration_told": self._configuration_sync.distribution.newest,
             "lease": self.leadership.observed,
             "holds_lease": self.leadership.is_valid,
             "endpoints": self.view.dump(),
--- a/src/wayslip/gateway/detached_operation.py
+++ b/src/wayslip/gateway/detached_operation.py
@@ -58,7 +58,7 @@
         if self._leadership.is_held and self._leadership.is_renewal_overdue:
             term = self._leadership.seen_term
             self._state = before.judge(
-                self._members.list_words(term, self._own_address),
+                self._members.list_statuses(term, self._own_address),
                 bool(self.list_missing()),
                 # At the resolution of the stamps in reports.
                 detachment.read_stamp(detachment.make_stamp(clock.now())),
@@ -71,7 +71,7 @@
 
     def _log_change(self) -> None:
         term = self._leadership.seen_term
-        statuses = self._members.list_words(term, self._own_address)
+        statuses = self._members.list_statuses(term, self._own_address)
         oldest = min((w.echoed_at for w in statuses), default=clock.now())
         logs.event(
             _LOG,
--- a/src/wayslip/gateway/endpoint_chooser.py
+++ b/src/wayslip/gateway/endpoint_chooser.py
@@ -145,9 +145,11 @@
             job.tried,
             self._has_idle,
         )
-        unseen = self._placement.find_unseen(job.service.name, job.traits.model)
+        unseen = self._placement.estimate_unreported_work(
+            job.service.name, job.traits.model
+        )
         choice = selection.choose(candidates, self._rng.random(), unseen)
-        self._metrics.latency("word_age").observe(self._placement.word_age)
+        self._metrics.latency("word_age").observe(self._placement.state_age)
         if choice is not None:
             logs.event(
                 _LOG,
@@ -176,7 +178,7 @@
             left = self._find_max_load_wait(job)
             if left <= 0:
                 return None
-            is_changed = await self._placement.want(
+            is_changed = await self._placement.request_item(
                 job.service.name, job.traits, left
             )
             choice = self._choose(job)
@@ -190,7 +192,9 @@
         situation = wait_policies.Situation(
             waited=now - job.began,
             target=job.route.target,
-            expected=self._placement.expect(job.service.name, job.traits),
+            expected=self._placement.estimate_ready_seconds(
+                job.service.name, job.traits
+            ),
             lacks_adapter_only=self._lacks_adapter_only(job),
         )
         return self._wait_policy(situation)
@@ -206,7 +210,9 @@
         if job.relayed or job.progress.may_have_run:
             self._responder.answer_verdict(job, retry.Verdict.UNKNOWN)
             return
-        wait = self._placement.expect(job.service.name, job.traits)
+        wait = self._placement.estimate_ready_seconds(
+            job.service.name, job.traits
+        )
         reason = "not_loaded" if job.traits.model else "no_endpoint"
         backoff_seconds = self._endpoint_backoff.find_retry_after(job)
         if backoff_seconds is not None:
--- a/src/wayslip/gateway/endpoint_follower.py
+++ b/src/wayslip/gateway/endpoint_follower.py
@@ -1,16 +1,16 @@
-"""Follows the platform's list of endpoints into the view.
+"""Applies the platform's list of endpoints to the view.
 
-The lease's holder watches the list and tells the other instances what
-changed. Every telling names the revision that it follows on, so that an
-instance which missed one knows it and reads the list itself.
+The lease holder watches the list and announces changes to the other instances.
+Every announcement names the revision that it follows, so that an instance that
+missed one detects this and reads the list itself.
 
 An address belongs to one endpoint at a time. So a new entry with the address
-of a known endpoint says that this one has ended, well before its own entry
-goes.
+of a known endpoint shows that the known endpoint has ended, well before its
+own entry is removed.
 
-While the store is away, entries of endpoints that live may lapse. After it is
-back such an endpoint has some time to list itself again before it is taken as
-gone.
+While the store is unavailable, entries of live endpoints may lapse. After the
+store has returned, such an endpoint has some time to list itself again before
+it is removed.
 """
 
 import asyncio
@@ -31,26 +31,27 @@
 from wayslip.gateway import watcher
 
 _LOG = logging.getLogger(__name__)
-# An entry that lapsed is back within about two seconds of the store's return.
-_RETURN_SECONDS = 2.0
-# Engines' entries change with every adapter; a leaving endpoint is heard of
-# this much later, of two seconds that are allowed.
-_REST_SECONDS = 0.25
-# An entry goes after three heartbeats of silence; that is told a moment later,
-# seconds.
+# A lapsed entry is listed again within about two seconds of the store's return.
+_RELIST_SECONDS = 2.0
+# Engines' entries change with every adapter, so changes are read in batches. A
+# leaving endpoint becomes known this much later, of two seconds allowed.
+_PAUSE_AFTER_CHANGES_SECONDS = 0.25
+# An entry lapses after three missed heartbeats, and the removal is announced
+# some time later.
 _LAPSE_SECONDS = 6.0
-_DEPARTED_MOST = 1000
-# For so long after an outage a missing entry may have lapsed in it, seconds.
-_AFTERMATH_SECONDS = 3.0
-# Entries told with one datagram; each takes 0.3 KB of the 30 KB it may have.
-_ENTRIES_MOST = 60
+_MAX_DEPARTED = 1000
+# For this long after an outage, a missing entry may have lapsed in it.
+_OUTAGE_GRACE_SECONDS = 3.0
+# Entries in one datagram; each takes 0.3 KB of its 30 KB.
+_MAX_ENTRIES_PER_DATAGRAM = 60
 
 
 class EndpointFollower:
-    """Keeps the view in line with the list.
+    """Keeps the view consistent with the list.
 
     Args:
-        tell: Is given what changed; it is told to the others if we lead.
+        announce: Receives the changes; sends them to the other instances if
+            this one holds the lease.
         knows_service: Whether the configuration in force names a service.
     """
 
@@ -62,7 +63,7 @@
         view: view_module.EndpointView,
         on_change: Callable[[], None],
         on_gone: Callable[[str], None],
-        tell: Callable[[facts.Changes], None],
+        announce: Callable[[facts.Changes], None],
         wait: float,
         find_pause: Callable[[float], float],
         metrics: metrics_module.Metrics,
@@ -72,55 +73,59 @@
         self._knows_service = knows_service
         self._on_change = on_change
         self._on_gone = on_gone
-        self._tell = tell
+        self._announce = announce
         self._listed: set[str] = set()
-        # Endpoints that have ended though they are listed; bounded by those.
+        # Endpoints that ended but are still listed; bounded by the list.
         self._replaced: set[str] = set()
-        self._outage_ended = -_AFTERMATH_SECONDS
-        # Endpoints that left the list, as last known; the oldest are forgotten.
+        self._outage_ended = -_OUTAGE_GRACE_SECONDS
+        # Last known entries of endpoints that left the list; bounded, the
+        # oldest are removed first.
         self._departed: collections.OrderedDict[str, fleet.Endpoint] = (
             collections.OrderedDict()
         )
-        # Missing ones that have time to come back.
+        # Missing endpoints that have time to list themselves again.
         self._lapsed: set[str] = set()
-        # Departed ones that a copy lists again, until that is settled.
+        # Departed endpoints that a restored list contains, until it is known
+        # whether they are alive.
         self._withheld: dict[str, fleet.Endpoint] = {}
-        # The store's revision once the last known change was made.
+        # Revision of the store after the last known change.
         self.changed_at = 0
         self.watcher = watcher.Watcher(
             store,
             kind,
             staleness,
-            self._take_list,
-            self._take_changes,
+            self._apply_list,
+            self._apply_changes,
             wait,
             find_pause,
             metrics,
-            _REST_SECONDS,
+            _PAUSE_AFTER_CHANGES_SECONDS,
         )
 
     # From the store
 
-    def _take_list(self, listing: store_module.Listing[fleet.Endpoint]) -> None:
+    def _apply_list(
+        self, listing: store_module.Listing[fleet.Endpoint]
+    ) -> None:
         found = [item.value for item in listing.items]
         self._note_outage()
-        # What a copy lacks is written again, as after an outage.
-        is_of_a_copy = self._is_of_a_copy(listing.revision)
-        may_return = is_of_a_copy or self._may_have_lapsed()
-        if is_of_a_copy:
+        # What a restored store lacks is written again, as after an outage.
+        is_from_later_era = self._is_from_later_era(listing.revision)
+        may_return = is_from_later_era or self._may_have_lapsed()
+        if is_from_later_era:
             found = self._withhold_departed(found)
         self._listed = {e.name for e in found}
         self._replaced &= self._listed
-        self._take_all(found)
-        # One that has time to come back keeps it, though it is missing still.
+        self._add_to_view(found)
+        # An endpoint within its time to return keeps it, though still missing.
         present = self._listed | self._lapsed
         missing = [n for n in self._view.tracked if n not in present]
-        # A whole list follows on whatever was known before.
+        # A whole list follows any earlier revision.
         self._announce_changes(0, listing.revision, found, missing, may_return)
-        self._miss_all(missing, may_return)
+        self._remove_missing(missing, may_return)
         self._on_change()
 
-    def _take_changes(
+    def _apply_changes(
         self, changes: store_module.Changes[fleet.Endpoint]
     ) -> None:
         newest = {c.name: c.value for c in changes.items}
@@ -131,34 +136,35 @@
         self._announce_changes(
             self.changed_at, changes.revision, found, missing, may_return
         )
-        self._take_entries(found)
+        self._apply_entries(found)
         for name in missing:
             self._forget(name)
-        self._miss_all(missing, may_return)
+        self._remove_missing(missing, may_return)
         self._on_change()
 
-    def _take_entries(self, found: list[fleet.Endpoint]) -> None:
+    def _apply_entries(self, found: list[fleet.Endpoint]) -> None:
         self._listed.update(e.name for e in found)
         for endpoint in found:
             self._withheld.pop(endpoint.name, None)
-        self._take_all(found)
+        self._add_to_view(found)
 
-    def _take_all(self, endpoints: list[fleet.Endpoint]) -> None:
-        """Takes entries into the view, and out what they replace."""
+    def _add_to_view(self, endpoints: list[fleet.Endpoint]) -> None:
+        """Adds entries to the view and removes the endpoints they replace."""
         known = {t.endpoint.address: n for n, t in self._view.tracked.items()}
-        fresh = [e for e in endpoints if e.name not in self._replaced]
-        for endpoint in fresh:
+        current = [e for e in endpoints if e.name not in self._replaced]
+        for endpoint in current:
             before = known.get(endpoint.address, endpoint.name)
             is_new = endpoint.name not in self._view.tracked
-            # Another writer's entry may name any address.
-            is_ours = self._knows_service(endpoint.service)
-            if is_new and is_ours and before != endpoint.name:
+            # An entry of another writer may name any address.
+            is_configured = self._knows_service(endpoint.service)
+            if is_new and is_configured and before != endpoint.name:
                 self._replaced.add(before)
                 self._remove(before)
-        for endpoint in fresh:
+        for endpoint in current:
             tracked = self._view.tracked.get(endpoint.name)
             if tracked is not None and endpoint.succeeds(tracked.endpoint):
-                # Connections to the start before say nothing more.
+                # Connections to the earlier incarnation are no evidence any
+                # more.
                 self._remove(endpoint.name)
             self._departed.pop(endpoint.name, None)
             self._view.apply_entry(endpoint)
@@ -168,10 +174,10 @@
         self._replaced.discard(name)
         self._withheld.pop(name, None)
 
-    # A store that came back from a copy
+    # A store that was restored from a copy
 
-    def _is_of_a_copy(self, revision: int) -> bool:
-        """Whether a list is of a later era than what was known."""
+    def _is_from_later_era(self, revision: int) -> bool:
+        """Whether a list is from a later era than the last one."""
         known = self.watcher.revision
         if known is None:
             return False
@@ -180,10 +186,10 @@
     def _withhold_departed(
         self, found: list[fleet.Endpoint]
     ) -> list[fleet.Endpoint]:
-        """Returns entries without those that left before the store lost it.
+        """Returns entries without those that left before the restore.
 
-        An endpoint that lives is listed still once an entry without heartbeats
-        would have lapsed.
+        A live endpoint is still listed after the time in which an entry without
+        heartbeats lapses.
         """
         withheld = {
             e.name: e
@@ -196,16 +202,16 @@
             self._withheld.update(withheld)
             logs.event(_LOG, "entries_withheld", entries=",".join(withheld))
             loop = asyncio.get_running_loop()
-            loop.call_later(_LAPSE_SECONDS, self._take_withheld)
+            loop.call_later(_LAPSE_SECONDS, self._release_withheld)
         return [e for e in found if e.name not in withheld]
 
-    def _take_withheld(self) -> None:
+    def _release_withheld(self) -> None:
         found = list(self._withheld.values())
         self._withheld.clear()
         if found:
             for part in _split(found):
-                self._tell(facts.Changes(0, 0, 0, part))
-            self._take_entries(found)
+                self._announce(facts.Changes(0, 0, 0, part))
+            self._apply_entries(found)
             self._on_change()
 
     def _announce_changes(
@@ -218,13 +224,13 @@
     ) -> None:
         parts = _split(found)
         for part in parts[:-1]:
-            self._tell(facts.Changes(0, 0, 0, part))
+            self._announce(facts.Changes(0, 0, 0, part))
         if len(parts) > 1:
-            # A part may get lost without anybody seeing it. So these follow
-            # on nothing, and whoever can reads the list.
+            # A part may be lost undetected. So these changes follow no known
+            # revision, and an instance that reaches the store reads the list.
             since = revision
         self.changed_at = max(self.changed_at, revision)
-        self._tell(
+        self._announce(
             facts.Changes(
                 term=0,
                 since=since,
@@ -235,39 +241,47 @@
             )
         )
 
-    # From and to other instances
+    # Announcements from and to other instances
 
-    def apply_update(self, told: facts.Changes) -> None:
-        """Takes in what the holder tells of the list."""
+    def apply_update(self, changes: facts.Changes) -> None:
+        """Applies changes of the list that the lease holder announced."""
         revision = self.watcher.revision
-        if told.revision and revision is not None and revision >= told.revision:
+        if (
+            changes.revision
+            and revision is not None
+            and revision >= changes.revision
+        ):
             logs.event(
                 _LOG,
                 "told_list_is_old",
-                logging.DEBUG if revision == told.revision else logging.INFO,
-                told=told.revision,
+                logging.DEBUG if revision == changes.revision else logging.INFO,
+                told=changes.revision,
                 known=revision,
-                term=told.term,
-                entries=len(told.listed),
+                term=changes.term,
+                entries=len(changes.listed),
             )
             return
-        found = [listed.restore() for listed in told.listed]
-        if self._is_of_a_copy(told.revision):
+        found = [listed.restore() for listed in changes.listed]
+        if self._is_from_later_era(changes.revision):
             found = self._withhold_departed(found)
         self._listed.update(e.name for e in found)
-        self._take_all(found)
-        for name in told.gone:
+        self._add_to_view(found)
+        for name in changes.gone:
             self._forget(name)
             self._remove(name)
-        for name in told.lapsed:
+        for name in changes.lapsed:
             self._forget(name)
             self._remove_later(name)
-        if told.names:
-            self._keep_only(told.names)
-        # One that was missed shows in what the holder says of its revision.
-        if revision is not None and revision >= told.since and told.revision:
-            self.watcher.revision = told.revision
-            self.changed_at = max(self.changed_at, told.revision)
+        if changes.names:
+            self._keep_only(changes.names)
+        # A missed change is detected by the revision in the holder's state.
+        if (
+            revision is not None
+            and revision >= changes.since
+            and changes.revision
+        ):
+            self.watcher.revision = changes.revision
+            self.changed_at = max(self.changed_at, changes.revision)
         self._on_change()
 
     def _keep_only(self, names: tuple[str, ...]) -> None:
@@ -275,13 +289,13 @@
             self._forget(name)
             self._remove(name)
 
-    def has(self, revision: int) -> bool:
-        """Whether all changes up to a revision were taken in."""
+    def has_applied(self, revision: int) -> bool:
+        """Whether all changes up to a revision were applied."""
         return (self.watcher.revision or 0) >= revision
 
     @property
     def lacks_list(self) -> bool:
-        """Whether we lack something of the list and can not read it."""
+        """Whether changes of the list are missing and can not be read."""
         if self.watcher.lost_since is None:
             return False
         return self.watcher.staleness.is_behind or not self.watcher.is_synced
@@ -303,10 +317,10 @@
             self._outage_ended = clock.now()
 
     def _may_have_lapsed(self) -> bool:
-        return clock.now() - self._outage_ended < _AFTERMATH_SECONDS
+        return clock.now() - self._outage_ended < _OUTAGE_GRACE_SECONDS
 
-    def _miss_all(self, names: list[str], may_return: bool) -> None:
-        """Takes endpoints out, now or when they had time to come back."""
+    def _remove_missing(self, names: list[str], may_return: bool) -> None:
+        """Removes endpoints, now or after their time to return."""
         for name in names:
             if may_return:
                 self._remove_later(name)
@@ -316,7 +330,7 @@
     def _remove_later(self, name: str) -> None:
         self._lapsed.add(name)
         loop = asyncio.get_running_loop()
-        loop.call_later(_RETURN_SECONDS, self._remove_if_missing, name)
+        loop.call_later(_RELIST_SECONDS, self._remove_if_missing, name)
 
     def _remove_if_missing(self, name: str) -> None:
         self._lapsed.discard(name)
@@ -328,15 +342,18 @@
         tracked = self._view.tracked.get(name)
         if tracked is not None:
             self._departed[name] = tracked.endpoint
-            if len(self._departed) > _DEPARTED_MOST:
+            if len(self._departed) > _MAX_DEPARTED:
                 self._departed.popitem(last=False)
         self._view.remove(name)
         self._on_gone(name)
 
 
 def _split(endpoints: list[fleet.Endpoint]) -> list[tuple[facts.Listed, ...]]:
-    """Returns entries in parts, at least one, that fit into a datagram."""
+    """Returns entries in parts that fit into a datagram, at least one part."""
     return [
-        tuple(facts.Listed.of(e) for e in endpoints[i : i + _ENTRIES_MOST])
-        for i in range(0, max(len(endpoints), 1), _ENTRIES_MOST)
+        tuple(
+            facts.Listed.of(e)
+            for e in endpoints[i : i + _MAX_ENTRIES_PER_DATAGRAM]
+        )
+        for i in range(0, max(len(endpoints), 1), _MAX_ENTRIES_PER_DATAGRAM)
     ]
--- a/src/wayslip/gateway/permit_broker.py
+++ b/src/wayslip/gateway/permit_broker.py
@@ -130,7 +130,7 @@
             return
         self._log(start, limit, self._name)
         update = facts.Limited(start.endpoint, start.born, limit)
-        self._peer_broadcast.spread(update)
+        self._peer_broadcast.broadcast(update)
 
     def apply_update(self, update: facts.Limited, source: str) -> None:
         """Records a limit that another instance announced."""
@@ -138,7 +138,7 @@
         if not self._notices.note_limit(start, update.limit, clock.now()):
             return
         self._log(start, update.limit, source)
-        self._peer_broadcast.pass_on(update)
+        self._peer_broadcast.forward_as_holder(update)
 
     def _log(
         self, start: fleet.Incarnation, limit: float | None, source: str
--- a/src/wayslip/gateway/placement.py
+++ b/src/wayslip/gateway/placement.py
@@ -1,4 +1,8 @@
-"""An instance's side of placement: tells the holder, hears its word."""
+"""An instance's part in placement: reports to the lease holder, applies states.
+
+The reports carry demand and load; the holder answers with states and placement
+updates.
+"""
 
 import asyncio
 import collections
@@ -23,25 +27,24 @@
 from wayslip.gateway import view as view_module
 
 _LOG = logging.getLogger(__name__)
-# Between reports to the holder, seconds. Load moves by a few requests in this
-# time; a report takes some 200 bytes.
-_REPORT_SECONDS = 0.25
-# Reports that the holder takes a second, from all instances; each costs it
-# about 0.1 ms. A fleet that would send more reports less often.
-_REPORTS_MOST = 400
-# Reports a second while all instances answer the same state: 195 take 0.1 s,
-# and 80 KB of the holder's link.
-_ANSWERS_MOST = 2000
-# A holder that was silent for this long is asked after in the store, seconds:
-# five reports in a row without an answer.
+# Load changes by a few requests in this time; a report takes about 200 bytes.
+_REPORT_INTERVAL_SECONDS = 0.25
+# Reports that the holder receives from all instances together; each costs it
+# about 0.1 ms. The instances of a larger fleet report less often.
+_MAX_REPORTS_PER_SECOND = 400
+# Spreads the reports of all instances that answer the same state: those of 195
+# instances take 0.1 s, and 80 KB of the holder's link.
+_MAX_ANSWERS_PER_SECOND = 2000
+# If no state was received for this long, the lease is read from the store: five
+# reports in a row were not answered.
 _SILENCE_SECONDS = 1.3
-# While it is silent it is asked after this often, seconds; `Leadership` spaces
+# Interval of these checks while the holder is unresponsive; `Leadership` limits
 # the calls themselves.
-_LOOK_SECONDS = 0.25
-# A wish is repeated after this, in case its datagram was lost, seconds.
-_WISH_SECONDS = 0.15
-# Instances assumed before the holder has told how many there are; more than
-# either first user runs, so that shared budgets are not overdrawn.
+_LEASE_CHECK_SECONDS = 0.25
+# An item request is repeated after this, in case its datagram was lost.
+_REQUEST_INTERVAL_SECONDS = 0.15
+# Assumed until the holder announces the number of instances. It is higher than
+# in the first two deployments, so that shared budgets are not exceeded.
 _ASSUMED_INSTANCES = 12
 
 
@@ -71,41 +74,42 @@
             collections.Counter()
         )
         self._work: dict[tuple[str, str, str], float] = {}
-        self._patient: collections.Counter[tuple[str, str, str]] = (
+        self._can_wait: collections.Counter[tuple[str, str, str]] = (
             collections.Counter()
         )
         self._changed = asyncio.Event()
-        self._wished: dict[tuple[str, str, str], float] = {}
-        self._arrivals: dict[tuple[str, str], float] = {}
-        # When items that were ordered can serve; bounded by their number.
+        self._requested_at: dict[tuple[str, str, str], float] = {}
+        self._pending_loads: dict[tuple[str, str], float] = {}
+        # When ordered items can serve; bounded by the number of items.
         self._ready_at: dict[tuple[str, str], float] = {}
-        self._heard = 0.0
-        # When the holder last spoke, perhaps to say that it can not renew.
-        self._spoken = 0.0
-        # The holder's last state; each report answers it.
-        self._last: facts.State | None = None
-        # Set when the next report must not wait for its time.
+        self._state_received_at = 0.0
+        # Last contact, which may be a state that says renewal is overdue.
+        self._last_contact_at = 0.0
+        # Last state of the holder; each report answers it.
+        self._last_state: facts.State | None = None
+        # Set when the next report must be sent before its time.
         self._is_report_due = asyncio.Event()
         self._is_leaving = False
         self.instances = _ASSUMED_INSTANCES
 
     @property
-    def word_age(self) -> float:
-        """Seconds since the holder's load of endpoints was last heard."""
-        return clock.now() - self._heard
+    def state_age(self) -> float:
+        """Seconds since the last state of a holder with a valid lease."""
+        return clock.now() - self._state_received_at
 
     @property
-    def hears_holder(self) -> bool:
-        """Whether the lease's holder was heard a moment ago."""
-        return self.word_age <= _SILENCE_SECONDS
+    def has_recent_state(self) -> bool:
+        """Whether a state of a valid lease holder was received recently."""
+        return self.state_age <= _SILENCE_SECONDS
 
     @property
     def has_recent_contact(self) -> bool:
-        """Whether the holder, or one that can not renew, spoke a moment ago.
+        """Whether any state was received recently, of a valid holder or not.
 
-        It goes on trying and tells of what it learns.
+        A holder whose renewal is overdue keeps trying, and announces what it
+        learns.
         """
-        return clock.now() - self._spoken <= _SILENCE_SECONDS
+        return clock.now() - self._last_contact_at <= _SILENCE_SECONDS
 
     # For requests
 
@@ -119,9 +123,9 @@
         """Counts a request for a model.
 
         Args:
-            service: Of its route.
-            traits: Of the request.
-            work: Seconds that an engine takes to read its prompt.
+            service: Service of its route.
+            traits: Traits of the request.
+            work: Seconds of prefill of its prompt.
             will_wait: Whether its client can wait for a load.
         """
         if not traits.model:
@@ -129,54 +133,56 @@
         item = (service, traits.model, traits.adapter)
         self._demand[item] += 1
         self._work[item] = self._work.get(item, 0.0) + work
-        self._patient[item] += will_wait
+        self._can_wait[item] += will_wait
 
-    async def want(
+    async def request_item(
         self, service: str, traits: dialect.Traits, seconds: float
     ) -> bool:
-        """Asks for a model and waits for any news of endpoints.
+        """Requests a model from the holder and waits for a change of endpoints.
 
         Returns:
-            Whether news came; the caller looks again then.
+            Whether the caller should look for an endpoint again.
         """
         holder = self._leadership.holder_address
         if holder is None:
             return False
         item = (service, traits.model, traits.adapter)
         now = clock.now()
-        if now - self._wished.get(item, 0.0) > _WISH_SECONDS:
-            self._wished[item] = now
-            wish = facts.ItemRequest(
+        if now - self._requested_at.get(item, 0.0) > _REQUEST_INTERVAL_SECONDS:
+            self._requested_at[item] = now
+            request = facts.ItemRequest(
                 self._options.name, self._options.data_hall, *item
             )
-            self._hub.send(wish, addresses.split_address(holder))
+            self._hub.send(request, addresses.split_address(holder))
         changed = self._changed
         try:
-            async with asyncio.timeout(min(seconds, _WISH_SECONDS)):
+            async with asyncio.timeout(min(seconds, _REQUEST_INTERVAL_SECONDS)):
                 await changed.wait()
         except TimeoutError:
-            return seconds > _WISH_SECONDS
+            return seconds > _REQUEST_INTERVAL_SECONDS
         return True
 
-    def expect(self, service: str, traits: dialect.Traits) -> float | None:
+    def estimate_ready_seconds(
+        self, service: str, traits: dialect.Traits
+    ) -> float | None:
         """Returns the seconds until a model can serve, None if unknown."""
         now = clock.now()
         ready = self._ready_at.get((traits.model, traits.adapter), 0.0)
         if ready > now:
             return ready - now
-        arrival = self._arrivals.get((service, traits.model))
+        arrival = self._pending_loads.get((service, traits.model))
         return None if arrival is None else max(arrival - now, 0.0)
 
-    def find_unseen(self, service: str, model: str) -> float:
-        """Returns the work that comes for a model before all know of it.
+    def estimate_unreported_work(self, service: str, model: str) -> float:
+        """Returns the work of requests for a model that is not announced yet.
 
         Returns:
-            Seconds of reading, from all instances, in the time that a request
-            takes at most to come back to them in the holder's state.
+            Seconds of prefill, from all instances, in the longest time until a
+            request is reported and appears in the holder's state.
         """
         if not model:
             return 0.0
-        age = self._find_report_seconds() + announcements.STATE_SECONDS
+        age = self._find_report_seconds() + announcements.STATE_INTERVAL_SECONDS
         return self._members.work(service, model) * age
 
     def notify(self) -> None:
@@ -184,43 +190,48 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    # Telling and hearing
+    # Reports to the holder and its states
 
     async def run(self) -> None:
-        """Reports until it is cancelled."""
+        """Reports until cancelled."""
         while True:
             await self._wait_to_report()
             self._report()
 
     async def watch_holder(self) -> None:
-        """Has the lease looked at once its holder is silent, for ever.
+        """Triggers checks of the lease while its holder is unresponsive.
 
-        All instances find that out together, so that those with more
-        processor and link, which wait less, take the lease.
+        All instances detect this at the same time, so that those with more
+        processor time and bandwidth, which wait less, take the lease. It runs
+        until cancelled.
         """
         while True:
-            left = self._heard + _SILENCE_SECONDS - clock.now()
+            left = self._state_received_at + _SILENCE_SECONDS - clock.now()
             if left <= 0:
                 self._leadership.request_check()
-            await asyncio.sleep(max(left, _LOOK_SECONDS))
+            await asyncio.sleep(max(left, _LEASE_CHECK_SECONDS))
 
     async def _wait_to_report(self) -> None:
-        """Waits for the next report's time, or for a reason to give it now."""
+        """Waits until the next report is due or must be sent early."""
         try:
             async with asyncio.timeout(self._find_report_seconds()):
                 await self._is_report_due.wait()
         except TimeoutError:
             return
-        # Not all at the same moment: their datagrams meet at one link.
-        await asyncio.sleep(random.uniform(0, self.instances / _ANSWERS_MOST))
+        # Spread in time, because all datagrams arrive at one link.
+        await asyncio.sleep(
+            random.uniform(0, self.instances / _MAX_ANSWERS_PER_SECOND)
+        )
         self._is_report_due.clear()
 
     def report_soon(self) -> None:
-        """Has the next report given soon, because the holder waits for it."""
+        """Sends the next report early, because the holder waits for it."""
         self._is_report_due.set()
 
     def _find_report_seconds(self) -> float:
-        return max(_REPORT_SECONDS, self.instances / _REPORTS_MOST)
+        return max(
+            _REPORT_INTERVAL_SECONDS, self.instances / _MAX_REPORTS_PER_SECOND
+        )
 
     def _report(self) -> None:
         holder = self._leadership.holder_address
@@ -243,12 +254,12 @@
                     *item,
                     count,
                     round(self._work[item], 3),
-                    self._patient[item],
+                    self._can_wait[item],
                 )
                 for item, count in self._demand.items()
             ),
-            self._last.term if self._last else 0,
-            self._last.stamp if self._last else 0,
+            self._last_state.term if self._last_state else 0,
+            self._last_state.stamp if self._last_state else 0,
             self._leadership.is_cut_off,
             self._is_leaving,
             tuple(
@@ -259,16 +270,16 @@
         )
         self._demand.clear()
         self._work.clear()
-        self._patient.clear()
+        self._can_wait.clear()
         self._hub.send(report, addresses.split_address(holder))
 
     def announce_leaving(self) -> None:
-        """Tells the holder that this instance stops as planned."""
+        """Reports to the holder that this instance is shutting down."""
         self._is_leaving = True
         self._report()
 
-    def take(self, state: facts.State) -> None:
-        """Takes in what the holder tells all the time."""
+    def apply_state(self, state: facts.State) -> None:
+        """Applies a periodic state of the lease holder."""
         known = self._leadership.seen_term
         if state.term < known:
             return
@@ -276,10 +287,10 @@
             self._leadership.receive_holder(
                 state.term, state.revision, state.address
             )
-        if _is_answered_at_once(self._last, state):
+        if _is_answered_at_once(self._last_state, state):
             self.report_soon()
-        self._last = state
-        self._spoken = clock.now()
+        self._last_state = state
+        self._last_contact_at = clock.now()
         self._limiter.apply_state(state)
         if not state.is_holder:
             self._leadership.receive_yield(state.term)
@@ -287,69 +298,71 @@
         self._leadership.note_renewal(state.revision)
         if state.is_detached:
             self._leadership.receive_detached(state.term)
-        self._heard = clock.now()
+        self._state_received_at = clock.now()
         self.instances = max(state.instances, 1)
-        self._take_usages(state)
+        self._apply_usages(state)
 
-    def apply_placement_update(self, news: facts.PlacementUpdate) -> None:
-        """Takes in what is loaded, taken away or coming."""
-        if news.term < self._leadership.seen_term:
+    def apply_placement_update(
+        self, placement_update: facts.PlacementUpdate
+    ) -> None:
+        """Applies loaded and removed items and pending loads."""
+        if placement_update.term < self._leadership.seen_term:
             return
-        for word in news.updates:
-            self._take_word(word)
-        if news.is_whole:
-            self._arrivals = {}
+        for update in placement_update.updates:
+            self._schedule_update(update)
+        if placement_update.is_whole:
+            self._pending_loads = {}
         now = clock.now()
-        for one in news.arrivals:
+        for one in placement_update.pending_loads:
             key = (one.service, one.model)
             at = now + one.seconds
-            self._arrivals[key] = min(self._arrivals.get(key, at), at)
+            self._pending_loads[key] = min(self._pending_loads.get(key, at), at)
 
-    def _take_usages(self, state: facts.State) -> None:
+    def _apply_usages(self, state: facts.State) -> None:
         totals = {u.endpoint: u for u in state.usages}
         for name, tracked in self._view.tracked.items():
             total = totals.get(name)
             if total is None:
                 tracked.others = (0, backlog.EMPTY)
                 continue
-            # Our own part of the total is as old as the total, ours is not;
-            # the difference is what others have there.
+            # The total includes this instance's share as of the last report,
+            # which may differ from the current one; the rest is from others.
             tracked.others = (
                 max(total.in_flight - tracked.in_flight, 0),
                 backlog.subtract(total.backlog, tracked.unread),
             )
 
-    def _take_word(self, word: facts.ItemUpdate) -> None:
-        if not word.seconds:
-            self._apply_word(word)
+    def _schedule_update(self, update: facts.ItemUpdate) -> None:
+        if not update.seconds:
+            self._apply_update(update)
             return
-        item = (word.model, word.adapter)
-        self._ready_at[item] = clock.now() + word.seconds
+        item = (update.model, update.adapter)
+        self._ready_at[item] = clock.now() + update.seconds
         loop = asyncio.get_running_loop()
-        loop.call_later(word.seconds, self._apply_word, word)
+        loop.call_later(update.seconds, self._apply_update, update)
 
-    def _apply_word(self, word: facts.ItemUpdate) -> None:
-        is_news = self._view.note_item(
-            word.endpoint, word.model, word.adapter, word.is_held
+    def _apply_update(self, update: facts.ItemUpdate) -> None:
+        is_change = self._view.note_item(
+            update.endpoint, update.model, update.adapter, update.is_held
         )
-        if not is_news:
+        if not is_change:
             return
         logs.event(
             _LOG,
             "item_told",
-            endpoint=word.endpoint,
-            model=word.model,
-            adapter=word.adapter,
-            held=word.is_held,
+            endpoint=update.endpoint,
+            model=update.model,
+            adapter=update.adapter,
+            held=update.is_held,
         )
         self.notify()
 
 
 def _is_answered_at_once(last: facts.State | None, state: facts.State) -> bool:
-    """Whether the holder needs to know at once that a state was heard.
+    """Whether the holder needs the answer to a state at once.
 
-    A holder that proposes to go on without the store waits until all have
-    heard so. With the usual reports that takes 0.5 s and more.
+    A holder that proposes detached operation waits until all instances have
+    received the proposal. With periodic reports this takes 0.5 s and more.
     """
     if last is None or last.term != state.term:
         return True
--- a/src/wayslip/gateway/planner.py
+++ b/src/wayslip/gateway/planner.py
@@ -184,7 +184,7 @@
     def _process_item_request(
         self, item_request: facts.ItemRequest, source: hub_module.Address
     ) -> None:
-        self.members.meet(item_request, source)
+        self.members.note_sender(item_request, source)
         if not item_request.adapter:
             return
         request = (
@@ -234,7 +234,7 @@
         now = clock.now()
         if update.is_whole:
             self._announced_loads = {}
-        for one in update.arrivals:
+        for one in update.pending_loads:
             if one.is_ordered:
                 key = (one.endpoint, one.model)
                 self._announced_loads[key] = now + one.seconds
--- a/src/wayslip/gateway/quarantine.py
+++ b/src/wayslip/gateway/quarantine.py
@@ -326,7 +326,7 @@
                 message.cleared[i : i + _MAX_RECORDS_PER_DATAGRAM],
                 message.common[i : i + _MAX_RECORDS_PER_DATAGRAM],
             )
-            self._peer_broadcast.spread(chunk)
+            self._peer_broadcast.broadcast(chunk)
 
     def _reannounce(self) -> None:
         """Repeats what other instances may have missed."""
--- a/tests/gateway/test_suspended.py
+++ b/tests/gateway/test_suspended.py
@@ -51,7 +51,7 @@
 @harness.run
 async def test_store_progress_from_the_lease_holder_becomes_stale(system):
     store_staleness = staleness.Staleness(1.3, lambda: False)
-    store_staleness.hear(0.1, True)
+    store_staleness.note_announcement(0.1, True)
     assert store_staleness.is_fresh
     with suspend(5.0):
         assert not store_staleness.is_fresh
@@ -101,7 +101,7 @@
     with (
         mock.patch.object(type(leadership), "is_renewal_overdue", True),
         mock.patch.object(
-            members, "list_words", lambda term, own: [peer_status]
+            members, "list_statuses", lambda term, own: [peer_status]
         ),
         mock.patch.object(members, "list_missing", list),
     ):
--- a/tests/stateful/quota_world.py
+++ b/tests/stateful/quota_world.py
@@ -42,7 +42,7 @@
 @dataclasses.dataclass
 class Instance:
     limiter: limits.Limiter
-    quota_accounts: quota_accounts.QuotaAccounts
+    accounts: quota_accounts.QuotaAccounts
     name: str
     process: int = 0
     number: int = 0
