--- a/src/wayslip/gateway/attempts.py
+++ b/src/wayslip/gateway/attempts.py
@@ -98,7 +98,7 @@
             return retry.Failure.UNCLEAR
         finally:
             self._view.end(use)
-            if connection is not None and not connection.is_kept:
+            if connection is not None and not connection.is_pooled:
                 connection.close()
 
     def _find_depth(self, job: jobs.Job) -> int:
@@ -185,7 +185,7 @@
     def _keep(
         self, endpoint: str, connection: client.Connection, head: messages.Head
     ) -> None:
-        connection.is_kept = True
+        connection.is_pooled = True
         self.pool.give_back(endpoint, connection, head.header(b"keep-alive"))
 
     async def _read_rest(self, connection: client.Connection) -> bytes:
--- a/src/wayslip/gateway/blocked_contents.py
+++ b/src/wayslip/gateway/blocked_contents.py
@@ -45,7 +45,7 @@
         # this term.
         self._revisions: dict[bytes, int] | None = None
         # What the store has lost is written again.
-        store.on_return(self.begin_term)
+        store.on_restore(self.begin_term)
 
     def begin_term(self) -> None:
         """Has them read again, since another holder may have changed them."""
--- a/src/wayslip/gateway/claims.py
+++ b/src/wayslip/gateway/claims.py
@@ -43,7 +43,7 @@
         self._unsure_until = self._find_end_of_detached_orders()
         # Until then orders may be near that the store has lost the claims of.
         self._returned_until = 0.0
-        store.on_return(self._note_return)
+        store.on_restore(self._note_return)
 
     def hear(self, endpoint: str, revision: int) -> None:
         """Takes in a claim's revision as its holder tells it."""
--- a/src/wayslip/gateway/configuration_sync.py
+++ b/src/wayslip/gateway/configuration_sync.py
@@ -76,7 +76,7 @@
         self._read_version = 0
         # Until then the store may lack what it came back without.
         self._rewritten_at = float("-inf")
-        store.on_return(self._note_return)
+        store.on_restore(self._note_return)
         self.distribution = distribution_module.Distribution(
             options,
             holder,
--- a/src/wayslip/gateway/copy_client.py
+++ b/src/wayslip/gateway/copy_client.py
@@ -39,7 +39,7 @@
     async def fetch(self, address: tuple[str, int], version: int) -> bytes:
         """Returns a copy, nothing if there is none to be had."""
         connection = await client.connect(address, _CONNECT_SECONDS)
-        reader = whole.WholeReader(_STALL_SECONDS, _COPY_SECONDS_MOST)
+        reader = whole.ResponseReader(_STALL_SECONDS, _COPY_SECONDS_MOST)
         request = (
             f"GET {PATH}?newer_than={version} HTTP/1.1\r\n"
             f"host: {address[0]}:{address[1]}\r\nconnection: close\r\n\r\n"
--- a/src/wayslip/gateway/store.py
+++ b/src/wayslip/gateway/store.py
@@ -106,7 +106,7 @@
     def era(self) -> int:
         """Of the store's history, as last seen."""
 
-    def on_return(self, listener: Callable[[], None]) -> None:
+    def on_restore(self, listener: Callable[[], None]) -> None:
         """Has a listener called when the store came back from a copy."""
 
     async def list(
--- a/src/wayslip/http1/client.py
+++ b/src/wayslip/http1/client.py
@@ -41,7 +41,7 @@
         self._failure: str | None = None
         self._is_dirty = False
         # Whether the pool has it; otherwise whoever sent on it closes it.
-        self.is_kept = False
+        self.is_pooled = False
         self.idle_since = 0.0
         self.idle_limit: float | None = None
         self._reset_message()
@@ -69,7 +69,7 @@
             matcher: Whether a head belongs to this request; answers to
                 earlier ones may still arrive.
         """
-        self.is_kept = False
+        self.is_pooled = False
         self._head = None
         self._matcher = matcher
         self._is_complete = False
--- a/src/wayslip/http1/pool.py
+++ b/src/wayslip/http1/pool.py
@@ -103,10 +103,10 @@
                 "see its log; the call may have taken effect",
             ) from e
         else:
-            connection.is_kept = True
+            connection.is_pooled = True
             self.give_back(endpoint, connection, head.header(b"keep-alive"))
         finally:
-            if not connection.is_kept:
+            if not connection.is_pooled:
                 connection.close()
         return head.status, b"".join(parts)
 
--- a/src/wayslip/http1/whole.py
+++ b/src/wayslip/http1/whole.py
@@ -11,7 +11,7 @@
 from wayslip.http1 import messages
 
 
-class WholeReader:
+class ResponseReader:
     """Reads one answer.
 
     Attributes:
--- a/src/wayslip/platform/store.py
+++ b/src/wayslip/platform/store.py
@@ -81,7 +81,7 @@
         """Of the store's history, as last seen; see `decisions.position`."""
         return self._era or 0
 
-    def on_return(self, listener: Callable[[], None]) -> None:
+    def on_restore(self, listener: Callable[[], None]) -> None:
         """Has a listener called when the store came back from a copy."""
         self._listeners.append(listener)
 
@@ -325,7 +325,7 @@
         async with self._lock:
             is_done = False
             began = clock.now()
-            reader = whole.WholeReader(_STALL_SECONDS, _ANSWER_SECONDS_MOST)
+            reader = whole.ResponseReader(_STALL_SECONDS, _ANSWER_SECONDS_MOST)
             try:
                 if not self._is_open:
                     seconds += _CONNECT_SECONDS
@@ -352,7 +352,7 @@
         method: str,
         path: str,
         content: Any,
-        reader: whole.WholeReader,
+        reader: whole.ResponseReader,
         max_wait: asyncio.Timeout,
     ) -> _Answer:
         asked_at = clock.now()
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -293,7 +293,7 @@
 @with_store
 async def test_return_is_told_once_and_not_at_the_first_answer(standin, client):
     told = []
-    client.on_return(lambda: told.append(client.era))
+    client.on_restore(lambda: told.append(client.era))
     add_endpoints(standin, 1)
     await return_from_copy(standin)
     await client.list(kinds.ENDPOINTS)
--- a/tests/stateful/order_network.py
+++ b/tests/stateful/order_network.py
@@ -146,7 +146,7 @@
     def era(self):
         return self._era or 0
 
-    def on_return(self, listener):
+    def on_restore(self, listener):
         self._listeners.append(listener)
 
     def _hear(self, era):
