--- a/src/wayslip/http1/client.py
+++ b/src/wayslip/http1/client.py
@@ -16,11 +16,11 @@
 from wayslip.http1 import messages
 
 # Body bytes read ahead of a slow client before the endpoint is held up.
-_READ_HIGH = 256 * 1024
+_READ_BUFFER_BYTES = 256 * 1024
 # See `server`; a dark endpoint is found out after this, milliseconds.
 _TCP_USER_TIMEOUT_MS = 3_000
 # How far a length may be trusted before the answer is taken as garbage.
-_HEAD_LIMIT = 64 * 1024
+_MAX_HEAD_BYTES = 64 * 1024
 
 Matcher = Callable[[messages.Head], bool]
 
@@ -31,13 +31,13 @@
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
         self._parser: Any = httptools.HttpResponseParser(self)
-        self._wake: asyncio.Future[None] | None = None
+        self._waiter: asyncio.Future[None] | None = None
         self._chunks: collections.deque[bytes] = collections.deque()
-        self._buffered = 0
+        self._buffered_bytes = 0
         self._head: messages.Head | None = None
         self._matcher: Matcher | None = None
         self._is_complete = True
-        self._skips = False
+        self._is_skipping = False
         self._failure: str | None = None
         self._is_dirty = False
         # Whether the pool has it; otherwise whoever sent on it closes it.
@@ -74,7 +74,7 @@
         self._matcher = matcher
         self._is_complete = False
         self._chunks.clear()
-        self._buffered = 0
+        self._buffered_bytes = 0
         assert self._transport is not None
         self._transport.write(data)
 
@@ -102,7 +102,7 @@
             await self._wait()
         data = b"".join(self._chunks)
         self._chunks.clear()
-        self._buffered = 0
+        self._buffered_bytes = 0
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
         return data
@@ -120,15 +120,15 @@
             )
 
     async def _wait(self) -> None:
-        self._wake = asyncio.get_running_loop().create_future()
+        self._waiter = asyncio.get_running_loop().create_future()
         try:
-            await self._wake
+            await self._waiter
         finally:
-            self._wake = None
+            self._waiter = None
 
     def _notify(self) -> None:
-        if self._wake is not None and not self._wake.done():
-            self._wake.set_result(None)
+        if self._waiter is not None and not self._waiter.done():
+            self._waiter.set_result(None)
 
     def _fail(self, reason: str) -> None:
         if self._failure is None:
@@ -163,9 +163,12 @@
                 self._is_dirty = True
             else:
                 self._fail(f"it is no HTTP ({e})")
-        if self._head is None and len(data) > _HEAD_LIMIT:
+        if self._head is None and len(data) > _MAX_HEAD_BYTES:
             self._fail("its head is too long")
-        if self._buffered > _READ_HIGH and self._transport is not None:
+        if (
+            self._buffered_bytes > _READ_BUFFER_BYTES
+            and self._transport is not None
+        ):
             self._transport.pause_reading()
 
     def eof_received(self) -> bool:
@@ -199,27 +202,27 @@
             return
         status = int(self._parser.get_status_code())
         if status < 200:
-            self._skips = True
+            self._is_skipping = True
             return
         head = self._make_head(status)
         assert self._matcher is not None
         if not self._matcher(head):
-            self._skips = True
+            self._is_skipping = True
             return
         self._head = head
         self._notify()
 
     def on_body(self, body: bytes) -> None:
         """Takes a part of the body."""
-        if self._skips or self._is_complete:
+        if self._is_skipping or self._is_complete:
             return
         self._chunks.append(body)
-        self._buffered += len(body)
+        self._buffered_bytes += len(body)
         self._notify()
 
     def on_message_complete(self) -> None:
         """Ends the answer."""
-        if self._skips or self._is_complete or self._head is None:
+        if self._is_skipping or self._is_complete or self._head is None:
             return
         self._is_complete = True
         if not self._head.keep_alive:
@@ -247,7 +250,7 @@
 
     def _reset_message(self) -> None:
         self._headers: list[tuple[bytes, bytes]] = []
-        self._skips = False
+        self._is_skipping = False
 
 
 async def connect(address: tuple[str, int], timeout: float) -> Connection:
--- a/src/wayslip/http1/messages.py
+++ b/src/wayslip/http1/messages.py
@@ -73,12 +73,16 @@
 
 def find_end_to_end(headers: Headers) -> Headers:
     """Returns the headers that are to be passed on."""
-    named: set[bytes] = set()
+    connection_tokens: set[bytes] = set()
     for key, value in headers:
         if key == b"connection":
-            named.update(t.strip().lower() for t in value.split(b","))
+            connection_tokens.update(
+                t.strip().lower() for t in value.split(b",")
+            )
     return tuple(
-        (k, v) for k, v in headers if k not in _HOP_BY_HOP and k not in named
+        (k, v)
+        for k, v in headers
+        if k not in _HOP_BY_HOP and k not in connection_tokens
     )
 
 
@@ -100,10 +104,10 @@
         changes: Headers set in place of the client's.
         removed: Headers left out.
     """
-    set_here = {k for k, _ in changes} | removed
+    replaced = {k for k, _ in changes} | removed
     lines = [request.method + b" " + request.target + b" HTTP/1.1"]
     for key, value in find_end_to_end(request.headers):
-        if key not in set_here:
+        if key not in replaced:
             lines.append(key + b": " + value)
     lines += [key + b": " + value for key, value in changes]
     if has_body_length(request):
--- a/src/wayslip/http1/pool.py
+++ b/src/wayslip/http1/pool.py
@@ -11,8 +11,8 @@
 # costs a request, so it is not kept for ever.
 _IDLE_SECONDS = 12.0
 # The endpoint may close at its limit; we stop using it this much earlier.
-_IDLE_MARGIN = 0.7
-_KEPT_PER_ENDPOINT = 64
+_IDLE_MARGIN_SECONDS = 0.7
+_MAX_IDLE_PER_ENDPOINT = 64
 
 
 class Pool:
@@ -64,7 +64,7 @@
             keep_alive: The answer's Keep-Alive header.
         """
         idle = self._idle.setdefault(endpoint, [])
-        if not connection.is_reusable or len(idle) >= _KEPT_PER_ENDPOINT:
+        if not connection.is_reusable or len(idle) >= _MAX_IDLE_PER_ENDPOINT:
             connection.close()
             return
         connection.idle_since = clock.now()
@@ -123,7 +123,7 @@
 
 def _is_fresh(connection: client.Connection, now: float) -> bool:
     limit = connection.idle_limit or _IDLE_SECONDS
-    return now - connection.idle_since < limit - _IDLE_MARGIN
+    return now - connection.idle_since < limit - _IDLE_MARGIN_SECONDS
 
 
 def _parse_keep_alive(value: bytes) -> float | None:
--- a/src/wayslip/http1/server.py
+++ b/src/wayslip/http1/server.py
@@ -19,13 +19,13 @@
 
 _LOG = logging.getLogger(__name__)
 # A client that reads slowly holds at most this much of an answer here, bytes.
-_WRITE_HIGH = 128 * 1024
+_WRITE_BUFFER_BYTES = 128 * 1024
 # Linux's option 18: unacknowledged bytes end a connection after this, ms. A
 # dead client would otherwise hold its engine's work for minutes.
 _TCP_USER_TIMEOUT_MS = 5_000
-_PIPELINE_LIMIT = 16
+_MAX_PIPELINED_REQUESTS = 16
 # A colon, a blank and the end of the line of each header, bytes.
-_SEPARATORS = 4
+_HEADER_SEPARATOR_BYTES = 4
 
 
 class Exchange:
@@ -38,7 +38,7 @@
         self.request = request
         self.is_started = False
         self.is_finished = False
-        self._chunked = False
+        self._is_chunked = False
 
     def answer(
         self, status: int, headers: messages.Headers, body: bytes
@@ -60,7 +60,7 @@
         self, status: int, headers: messages.Headers, length: int | None
     ) -> None:
         """Sends the head of an answer whose body follows in parts."""
-        self._chunked = length is None
+        self._is_chunked = length is None
         framing = (
             b"transfer-encoding: chunked"
             if length is None
@@ -80,14 +80,14 @@
         """Sends a part of the body; waits while the client reads slowly."""
         if not data:
             return
-        if self._chunked:
+        if self._is_chunked:
             data = b"%x\r\n%s\r\n" % (len(data), data)
         self._connection.write(data)
         await self._connection.drain()
 
     def finish(self) -> None:
         """Marks the answer as complete."""
-        if self._chunked:
+        if self._is_chunked:
             self._connection.write(b"0\r\n\r\n")
         self._finish()
 
@@ -183,14 +183,16 @@
         """Takes the connection in."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        transport.set_write_buffer_limits(high=_WRITE_HIGH)
+        transport.set_write_buffer_limits(high=_WRITE_BUFFER_BYTES)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _TCP_USER_TIMEOUT_MS
         )
         self._server.connections.add(self)
-        self._set_timer(self._server.limits().idle_seconds, self._end_idle)
+        self._set_timer(
+            self._server.limits().idle_seconds, self._on_idle_timeout
+        )
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Ends the request that is under way: nobody waits for it."""
@@ -222,7 +224,7 @@
         except (httptools.HttpParserUpgrade, httptools.HttpParserError):
             self._refuse(400)
         else:
-            self._check_open_head(len(data))
+            self._check_partial_head(len(data))
 
     # What the parser calls
 
@@ -230,7 +232,7 @@
         """Starts a request."""
         self._reset_message()
         self._set_timer(
-            self._server.limits().header_seconds, self._end_slow_head
+            self._server.limits().header_seconds, self._on_header_timeout
         )
 
     def on_url(self, url: bytes) -> None:
@@ -241,11 +243,13 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         """Takes a header."""
         self._headers.append((name.lower(), value or b""))
-        self._head_bytes += len(name) + len(value or b"") + _SEPARATORS
+        self._head_bytes += (
+            len(name) + len(value or b"") + _HEADER_SEPARATOR_BYTES
+        )
 
     def on_headers_complete(self) -> None:
         """Checks a whole head."""
-        self._head_seen = True
+        self._is_head_complete = True
         if self._head_bytes > self._server.limits().header_bytes:
             self._refuse(431)
             return
@@ -275,7 +279,7 @@
             bool(self._parser.should_keep_alive()),
         )
         self._queue.append(request)
-        if len(self._queue) > _PIPELINE_LIMIT:
+        if len(self._queue) > _MAX_PIPELINED_REQUESTS:
             self._refuse(400)
             return
         self._serve_next()
@@ -303,7 +307,9 @@
             if self._transport is not None:
                 self._transport.close()
             return
-        self._set_timer(self._server.limits().idle_seconds, self._end_idle)
+        self._set_timer(
+            self._server.limits().idle_seconds, self._on_idle_timeout
+        )
 
     def abort(self) -> None:
         """Breaks the connection off."""
@@ -332,15 +338,15 @@
         self._body: list[bytes] = []
         self._body_bytes = 0
         self._head_bytes = 0
-        self._open_bytes = 0
-        self._head_seen = False
+        self._partial_head_bytes = 0
+        self._is_head_complete = False
 
-    def _check_open_head(self, received: int) -> None:
+    def _check_partial_head(self, received: int) -> None:
         """Refuses a head that is too long before it is there whole."""
-        if self._head_seen:
+        if self._is_head_complete:
             return
-        self._open_bytes += received
-        if self._open_bytes > self._server.limits().header_bytes:
+        self._partial_head_bytes += received
+        if self._partial_head_bytes > self._server.limits().header_bytes:
             self._refuse(431)
 
     def _refuse(self, status: int) -> None:
@@ -383,17 +389,17 @@
         self._serve_next()
 
     def _set_timer(
-        self, seconds: float, call: Callable[[], None] | None
+        self, seconds: float, callback: Callable[[], None] | None
     ) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if call is not None:
+        if callback is not None:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_later(seconds, call)
+            self._timer = loop.call_later(seconds, callback)
 
-    def _end_idle(self) -> None:
+    def _on_idle_timeout(self) -> None:
         self.close_if_idle()
 
-    def _end_slow_head(self) -> None:
+    def _on_header_timeout(self) -> None:
         self._refuse(408)
--- a/src/wayslip/http1/whole.py
+++ b/src/wayslip/http1/whole.py
@@ -16,21 +16,21 @@
 
     Attributes:
         received: Bytes of its body so far.
-        told_at: Monotonic time at which its head came, 0 before.
+        head_received_at: Monotonic time at which its head came, 0 before.
     """
 
-    def __init__(self, stall: float, most: float) -> None:
+    def __init__(self, stall_seconds: float, max_seconds: float) -> None:
         """Initializes without anything read.
 
         Args:
-            stall: Silence in its midst that ends it, seconds.
-            most: What it may take after its head, seconds; else it could
+            stall_seconds: Silence in its midst that ends it, seconds.
+            max_seconds: What it may take after its head, seconds; else it could
                 trickle for ever.
         """
-        self._stall = stall
-        self._most = most
+        self._stall_seconds = stall_seconds
+        self._max_seconds = max_seconds
         self.received = 0
-        self.told_at = 0.0
+        self.head_received_at = 0.0
 
     async def read(
         self, connection: client.Connection, max_wait: asyncio.Timeout
@@ -45,7 +45,7 @@
             EndpointUnclearError: The answer broke off, or is garbage.
         """
         head = await connection.read_head()
-        self.told_at = clock.now()
+        self.head_received_at = clock.now()
         parts = []
         self._extend(max_wait)
         while part := await connection.read():
@@ -55,6 +55,8 @@
         return head, b"".join(parts)
 
     def _extend(self, max_wait: asyncio.Timeout) -> None:
-        left = max(self.told_at + self._most - clock.now(), 0.0)
+        seconds_left = max(
+            self.head_received_at + self._max_seconds - clock.now(), 0.0
+        )
         now = asyncio.get_running_loop().time()
-        max_wait.reschedule(now + min(self._stall, left))
+        max_wait.reschedule(now + min(self._stall_seconds, seconds_left))
--- a/src/wayslip/objects/client.py
+++ b/src/wayslip/objects/client.py
@@ -190,15 +190,15 @@
         """
         for _ in range(_MAX_TRIES):
             stored = self.find(kind, name)
-            wanted = step(stored.value if stored else None)
-            if isinstance(wanted, refusals.Refusal):
-                return wanted
-            if stored is not None and wanted == stored.value:
+            desired = step(stored.value if stored else None)
+            if isinstance(desired, refusals.Refusal):
+                return desired
+            if stored is not None and desired == stored.value:
                 return stored
             try:
                 if stored is None:
-                    return self.create(kind, name, wanted)
-                return self.update(kind, stored, wanted)
+                    return self.create(kind, name, desired)
+                return self.update(kind, stored, desired)
             except errors.ObjectConflictError:
                 self._metrics.count("object_conflicts", kind=kind.plural)
         raise errors.ObjectUnavailableError(
@@ -278,46 +278,49 @@
 
 
 def _iterate_lines(response: urllib3.BaseHTTPResponse) -> Iterator[bytes]:
-    rest = b""
+    remainder = b""
     for chunk in response.stream(None):
-        *lines, rest = (rest + chunk).split(b"\n")
+        *lines, remainder = (remainder + chunk).split(b"\n")
         yield from (line for line in lines if line)
 
 
-def _raise_for_status(status: int, what: str) -> None:
+def _raise_for_status(status: int, operation: str) -> None:
     if status < 400:
         return
     match status:
         case 404:
             raise errors.ObjectMissingError(
-                f"{what}: there is no such object", "create it first"
+                f"{operation}: there is no such object", "create it first"
             )
         case 409:
             raise errors.ObjectConflictError(
-                f"{what}: the object has changed", "read it again"
+                f"{operation}: the object has changed", "read it again"
             )
         case 410:
             raise errors.WatchExpiredError(
-                f"{what}: the version is too old", "list again"
+                f"{operation}: the version is too old", "list again"
             )
         case 401 | 403:
             raise errors.ObjectError(
-                f"{what}: the object API refused the token",
+                f"{operation}: the object API refused the token",
                 "check objects.token in the settings",
             )
         case 400 | 413 | 422:
             raise errors.ObjectError(
-                f"{what}: the object API called the object invalid ({status})",
+                f"{operation}: the object API rejected the object as invalid"
+                f" ({status})",
                 "see the object API's log",
             )
     raise errors.ObjectUnavailableError(
-        f"{what}: the object API answered {status}", "try again later"
+        f"{operation}: the object API answered {status}", "try again later"
     )
 
 
-def _unavailable(what: str, cause: Exception) -> errors.ObjectUnavailableError:
+def _unavailable(
+    operation: str, cause: Exception
+) -> errors.ObjectUnavailableError:
     kind = type(cause).__name__
     return errors.ObjectUnavailableError(
-        f"{what}: the object API did not answer ({kind})",
+        f"{operation}: the object API did not answer ({kind})",
         "check the platform's object API; requests go on without it",
     )
--- a/src/wayslip/objects/informer.py
+++ b/src/wayslip/objects/informer.py
@@ -33,18 +33,18 @@
         self,
         client: client_module.ObjectClient,
         kind: kinds.Kind[T],
-        is_wanted: Callable[[], bool] = lambda: True,
+        is_enabled: Callable[[], bool] = lambda: True,
     ) -> None:
         """Prepares an informer.
 
         Args:
             client: The object API.
             kind: The kind of objects.
-            is_wanted: Whether this process watches now; asked again each time.
+            is_enabled: Whether this process watches now; asked again each time.
         """
         self._client = client
         self._kind = kind
-        self._is_wanted = is_wanted
+        self._is_enabled = is_enabled
         self._listeners: list[Listener[T]] = []
         self._objects: dict[str, T] = {}
         self._stopping = threading.Event()
@@ -81,11 +81,11 @@
 
     def _run(self) -> None:
         while not self._stopping.is_set():
-            if not self._is_wanted():
+            if not self._is_enabled():
                 self._stopping.wait(_RETRY_SECONDS)
                 continue
             try:
-                self._follow()
+                self._list_and_watch()
             except errors.WatchExpiredError:
                 continue
             except errors.WayslipError as e:
@@ -101,12 +101,12 @@
                 _LOG.exception("watch_failed")
                 self._stopping.wait(_RETRY_SECONDS)
 
-    def _follow(self) -> None:
+    def _list_and_watch(self) -> None:
         listing = self._client.list(self._kind)
         self._replace({s.name: s.value for s in listing.items})
         version = listing.version
         relist_at = clock.now() + _RELIST_SECONDS
-        while clock.now() < relist_at and self._is_wanted():
+        while clock.now() < relist_at and self._is_enabled():
             for event in self._client.watch(self._kind, version):
                 version = event.version
                 self._apply(event)
--- a/src/wayslip/objects/kinds.py
+++ b/src/wayslip/objects/kinds.py
@@ -83,9 +83,10 @@
             return self.adapter.validate_python(value, strict=False)
         except pydantic.ValidationError as e:
             first = e.errors()[0]
-            where = ".".join(str(part) for part in first["loc"])
+            location = ".".join(str(part) for part in first["loc"])
             raise errors.ObjectError(
-                f"a {self.name} object is malformed at {where}: {first['msg']}",
+                f"a {self.name} object is malformed at {location}:"
+                f" {first['msg']}",
                 "restore the object or delete it",
             ) from e
 
@@ -97,16 +98,16 @@
 KINDS: registry.Registry[Kind[Any]] = registry.Registry("object kind")
 
 
-def _declare(name: str, plural: str, content: type[T]) -> Kind[T]:
+def _register(name: str, plural: str, content: type[T]) -> Kind[T]:
     config: Callable[..., Any] = pydantic.TypeAdapter
     return KINDS.register(plural)(Kind(name, plural, config(content)))
 
 
-CONFIGURATION = _declare(
+CONFIGURATION = _register(
     "Configuration", "configurations", configuration.Configuration
 )
-LEDGER = _declare("Ledger", "ledgers", ledger.Ledger)
-REPLICA_SET = _declare("ReplicaSet", "replicasets", replicas.ReplicaSet)
-PLAN = _declare("Plan", "plans", plan.Plan)
-SEGMENT = _declare("JournalSegment", "journalsegments", journal.Segment)
-ENDPOINT = _declare("Endpoint", "endpoints", Endpoint)
+LEDGER = _register("Ledger", "ledgers", ledger.Ledger)
+REPLICA_SET = _register("ReplicaSet", "replicasets", replicas.ReplicaSet)
+PLAN = _register("Plan", "plans", plan.Plan)
+SEGMENT = _register("JournalSegment", "journalsegments", journal.Segment)
+ENDPOINT = _register("Endpoint", "endpoints", Endpoint)
--- a/src/wayslip/platform/decoding.py
+++ b/src/wayslip/platform/decoding.py
@@ -9,7 +9,7 @@
 from wayslip.decisions import organisations
 from wayslip.platform import fields
 
-_KINDS = {
+_REQUEST_KINDS = {
     "idempotent": manifest.RequestKind.IDEMPOTENT,
     "non_idempotent": manifest.RequestKind.ONCE,
     "streaming": manifest.RequestKind.STREAM,
@@ -60,7 +60,7 @@
         name=raw["name"],
         host=raw["host"].lower(),
         prefix=raw["path_prefix"],
-        kind=_KINDS[raw["kind"]],
+        kind=_REQUEST_KINDS[raw["kind"]],
         timeout=timeout,
         target=float(raw.get("target_latency_ms") or 0) / 1000 or timeout,
         priority=int(raw.get("priority") or 0),
@@ -159,7 +159,7 @@
     try:
         raw = fields.read_object(spec, "spec")
         at_hand = fields.read_object(raw.get("at_hand", {}), "at_hand")
-        with fields.name_inside("at_hand"):
+        with fields.within_field("at_hand"):
             in_memory = _read_names(at_hand, "in_memory")
             on_disk = _read_names(at_hand, "on_disk")
         return fleet.Endpoint(
@@ -167,13 +167,13 @@
             service=fields.read_text(raw, "service"),
             address=fields.read_address(raw, "address"),
             data_hall=fields.read_text(raw, "zone"),
-            slots=fields.read_whole(raw, "slots", 1),
-            is_leaving=_read_stage(raw) == _LEAVING,
+            slots=fields.read_int(raw, "slots", 1),
+            is_leaving=_read_state(raw) == _LEAVING,
             models=_decode_models(raw),
             in_memory=in_memory,
             on_disk=on_disk,
-            beat=fields.read_whole(raw, "seq", 0),
-            born=fields.read_whole(raw, "born", 0, default=0),
+            beat=fields.read_int(raw, "seq", 0),
+            born=fields.read_int(raw, "born", 0, default=0),
         )
     except fields.FieldError as e:
         raise errors.ObjectFieldError(
@@ -194,11 +194,13 @@
         if "models" not in raw:
             raise fields.FieldError("models", "is missing")
         return fleet.EngineState(
-            orders=fields.read_whole(raw, "seq", 0),
+            orders=fields.read_int(raw, "seq", 0),
             is_busy=fields.read_flag(raw, "busy"),
             models=_decode_models(raw),
-            coming=frozenset(fields.read_list(raw, "coming", _decode_coming)),
-            born=fields.read_whole(raw, "born", 0, default=0),
+            coming=frozenset(
+                fields.read_list(raw, "coming", _decode_pending_load)
+            ),
+            born=fields.read_int(raw, "born", 0, default=0),
         )
     except fields.FieldError as e:
         raise errors.EndpointError(
@@ -206,7 +208,7 @@
         ) from e
 
 
-def _read_stage(raw: Mapping[str, Any]) -> str:
+def _read_state(raw: Mapping[str, Any]) -> str:
     state = fields.read_text(raw, "state")
     if state not in _STATES:
         raise fields.FieldError("state", f"is none of {', '.join(_STATES)}")
@@ -218,25 +220,25 @@
 
 
 def _decode_models(raw: Mapping[str, Any]) -> dict[str, frozenset[str]]:
-    return dict(fields.read_list(raw, "models", _decode_held))
+    return dict(fields.read_list(raw, "models", _decode_resident_model))
 
 
-def _decode_held(part: Any, name: str) -> tuple[str, frozenset[str]]:
+def _decode_resident_model(item: Any, name: str) -> tuple[str, frozenset[str]]:
     """Returns a model and its adapters that an engine holds."""
-    model = fields.read_object(part, name)
-    with fields.name_inside(name):
+    model = fields.read_object(item, name)
+    with fields.within_field(name):
         adapters = fields.read_list(model, "adapters", _decode_adapter)
         return fields.read_text(model, "name"), frozenset(adapters)
 
 
-def _decode_adapter(part: Any, name: str) -> str:
-    text = part.get("name") if isinstance(part, Mapping) else part
+def _decode_adapter(item: Any, name: str) -> str:
+    text = item.get("name") if isinstance(item, Mapping) else item
     return _adapter_name(fields.check_text(text, name))
 
 
-def _decode_coming(part: Any, name: str) -> fleet.Item:
+def _decode_pending_load(item: Any, name: str) -> fleet.Item:
     """Returns the item of "MODEL/ADAPTER@VERSION"."""
-    text = fields.check_text(part, name)
+    text = fields.check_text(item, name)
     return text.partition("/")[0], _adapter_name(text)
 
 
--- a/src/wayslip/platform/dialect.py
+++ b/src/wayslip/platform/dialect.py
@@ -12,18 +12,18 @@
 _DEADLINE_MS = b"wayslip-deadline-ms"
 _MODEL = b"wayslip-model"
 _TOKENS = b"wayslip-token-count"
-_PARTS = b"wayslip-prompt-prefix"
+_PROMPT_PREFIX = b"wayslip-prompt-prefix"
 _LAST_EVENT_ID = b"last-event-id"
 _PRIORITY = b"wayslip-request-priority"
-_TARGET = b"wayslip-target-instance"
-_KEY = b"wayslip-key"
+_TARGET_ENDPOINT = b"wayslip-target-instance"
+_CALLER_KEY = b"wayslip-key"
 _ORGANISATION = b"wayslip-tenant"
 _SEAL = b"wayslip-server-seal"
 _NOT_RUN = b"wayslip-not-executed"
 _LOAD = b"wayslip-server-load"
 _RETRY_AFTER = b"retry-after"
 _LEAVING = b"server-leaving"
-_LIMIT = b"server-limit"
+_RATE_LIMIT = b"server-limit"
 _CONTENT_TYPE = b"content-type"
 _CONTENT_ENCODING = b"content-encoding"
 _EVENT_STREAM = b"text/event-stream"
@@ -31,22 +31,22 @@
 _UNAVAILABLE = 503
 # An endpoint that asks for more rest than this has meant something else,
 # seconds.
-_REST_MOST = 3600.0
+_MAX_BACKOFF_SECONDS = 3600.0
 _LOWEST_PRIORITY = 9
 # Names that begin so belong to the platform: engines act on them, some with an
 # underscore in place of each hyphen too.
-_RESERVED = (b"wayslip-", b"kv-")
+_RESERVED_PREFIXES = (b"wayslip-", b"kv-")
 # The reserved ones that are a client's to send. Everything else there is ours
 # to set: a client's would take an engine's memory, steer its fetches, or have
 # idle engines turn the request away. Worth of a first user: 0.351 to 0.399,
 # +0.048 +- 0.018, paired over 15 runs of its days.
-_FROM_CLIENTS = frozenset(
+_CLIENT_HEADERS = frozenset(
     {
         _REQUEST_ID,
         _DEADLINE_MS,
         _MODEL,
         _TOKENS,
-        _PARTS,
+        _PROMPT_PREFIX,
         b"wayslip-length-hint",
     }
 )
@@ -57,16 +57,16 @@
 
     def read_request(self, request: messages.Request) -> dialect.Traits | None:
         """Returns a request's traits, None if it names no id."""
-        found = dict(reversed(request.headers))
-        request_id = found.get(_REQUEST_ID, b"").decode("latin-1")
+        sent = dict(reversed(request.headers))
+        request_id = sent.get(_REQUEST_ID, b"").decode("latin-1")
         if not request_id:
             return None
-        host = found.get(b"host", b"").decode("latin-1").lower()
+        host = sent.get(b"host", b"").decode("latin-1").lower()
         model, _, adapter = (
-            found.get(_MODEL, b"").decode("latin-1").partition("/")
+            sent.get(_MODEL, b"").decode("latin-1").partition("/")
         )
-        prompt, _, output = found.get(_TOKENS, b"").partition(b",")
-        deadline = _read_int(found.get(_DEADLINE_MS, b""))
+        prompt, _, output = sent.get(_TOKENS, b"").partition(b",")
+        deadline = _read_int(sent.get(_DEADLINE_MS, b""))
         return dialect.Traits(
             request_id=request_id,
             host=host.partition(":")[0],
@@ -76,8 +76,8 @@
             adapter=adapter,
             prompt_tokens=_read_int(prompt) or 0,
             output_tokens=_read_int(output) or 0,
-            parts=_read_parts(found.get(_PARTS, b"")),
-            last_event_id=found.get(_LAST_EVENT_ID, b"").decode("latin-1"),
+            parts=_read_parts(sent.get(_PROMPT_PREFIX, b"")),
+            last_event_id=sent.get(_LAST_EVENT_ID, b"").decode("latin-1"),
             key=_read_key(request.headers),
         )
 
@@ -89,7 +89,7 @@
         priority = min(max(order.priority, 0), _LOWEST_PRIORITY)
         changes = [
             (_DEADLINE_MS, b"%d" % milliseconds),
-            (_TARGET, order.endpoint.encode("latin-1")),
+            (_TARGET_ENDPOINT, order.endpoint.encode("latin-1")),
             (_PRIORITY, b"%d" % priority),
         ]
         if order.last_event_id:
@@ -100,7 +100,7 @@
             name = order.organisation.encode("latin-1", "replace")
             changes.append((_ORGANISATION, name))
         return messages.format_request(
-            request, tuple(changes), _find_forged(request.headers)
+            request, tuple(changes), _find_reserved(request.headers)
         )
 
     def match_answer(
@@ -132,8 +132,8 @@
             is_stream=head.header(_CONTENT_TYPE).startswith(_EVENT_STREAM),
             is_leaving=head.header(_LEAVING).strip() == b"1",
             load=_read_load(head.header(_LOAD)),
-            rest=_read_rest(head),
-            limit=_read_limit(head),
+            rest=_read_backoff_seconds(head),
+            limit=_read_rate_limit(head),
         )
 
     def make_retry_after(self, seconds: float) -> messages.Headers:
@@ -141,13 +141,13 @@
         return ((_RETRY_AFTER, f"{seconds:.2f}".encode("ascii")),)
 
 
-def _find_forged(headers: messages.Headers) -> frozenset[bytes]:
+def _find_reserved(headers: messages.Headers) -> frozenset[bytes]:
     """Returns the names of headers that only the system may set."""
     return frozenset(
         name
         for name, _ in headers
-        if name.replace(b"_", b"-").startswith(_RESERVED)
-        and name not in _FROM_CLIENTS
+        if name.replace(b"_", b"-").startswith(_RESERVED_PREFIXES)
+        and name not in _CLIENT_HEADERS
     )
 
 
@@ -157,7 +157,7 @@
     Of several that differ none is the client's for sure; their digest is that
     of a text that can be no key.
     """
-    sent = {value for name, value in headers if name == _KEY}
+    sent = {value for name, value in headers if name == _CALLER_KEY}
     if not sent:
         return None
     return organisations.hash_key(b"\n".join(sorted(sent)))
@@ -170,22 +170,22 @@
         return None
 
 
-def _read_rest(head: messages.Head) -> float | None:
+def _read_backoff_seconds(head: messages.Head) -> float | None:
     """Returns the seconds of rest that a refusal asks for."""
     if head.status != _UNAVAILABLE or not head.header(_NOT_RUN):
         return None
-    seconds = _read_number(head.header(_RETRY_AFTER))
+    seconds = _read_non_negative(head.header(_RETRY_AFTER))
     if not seconds:
         return None
-    return min(seconds, _REST_MOST)
+    return min(seconds, _MAX_BACKOFF_SECONDS)
 
 
-def _read_limit(head: messages.Head) -> float | None:
+def _read_rate_limit(head: messages.Head) -> float | None:
     """Returns the requests a second that an endpoint takes from all."""
-    return _read_number(head.header(_LIMIT))
+    return _read_non_negative(head.header(_RATE_LIMIT))
 
 
-def _read_number(text: bytes) -> float | None:
+def _read_non_negative(text: bytes) -> float | None:
     """Returns a decimal number, None if there is none that makes sense."""
     try:
         number = float(text)
--- a/src/wayslip/platform/engines.py
+++ b/src/wayslip/platform/engines.py
@@ -38,7 +38,7 @@
         status, data = await self._pool.fetch(
             endpoint.name,
             addresses.split_address(endpoint.address),
-            _format(endpoint, "GET", _REPORT_PATH, b""),
+            _format_request(endpoint, "GET", _REPORT_PATH, b""),
             _CALL_SECONDS,
         )
         if status != 200:
@@ -71,7 +71,9 @@
         }
         if order.adapter:
             body["adapter"] = order.adapter
-        data = _format(endpoint, "POST", _ORDER_PATH, json.dumps(body).encode())
+        data = _format_request(
+            endpoint, "POST", _ORDER_PATH, json.dumps(body).encode()
+        )
         try:
             status, _ = await self._pool.fetch(
                 endpoint.name,
@@ -89,7 +91,7 @@
         return _OUTCOMES.get(status, engines.OrderOutcome.UNKNOWN)
 
 
-def _format(
+def _format_request(
     endpoint: fleet.Endpoint, method: str, path: str, body: bytes
 ) -> bytes:
     lines = [
--- a/src/wayslip/platform/fields.py
+++ b/src/wayslip/platform/fields.py
@@ -14,10 +14,10 @@
 
 T = TypeVar("T")
 # Longer than any name or address that is in use, characters.
-_TEXT_MOST = 512
+_MAX_TEXT_CHARS = 512
 # More models, adapters or copies than an engine has room for, by far.
-_LIST_MOST = 10_000
-_PORT_MOST = 65_535
+_MAX_LIST_ITEMS = 10_000
+_MAX_PORT = 65_535
 
 
 class FieldError(ValueError):
@@ -35,7 +35,7 @@
 
 
 @contextlib.contextmanager
-def name_inside(name: str) -> Iterator[None]:
+def within_field(name: str) -> Iterator[None]:
     """Has errors about fields of an object name the object's field too."""
     try:
         yield
@@ -57,20 +57,22 @@
 
 def check_text(value: Any, name: str) -> str:
     """Returns a value that is a text and not empty."""
-    if not isinstance(value, str) or not 0 < len(value) <= _TEXT_MOST:
-        raise FieldError(name, f"is no text of 1 to {_TEXT_MOST} characters")
+    if not isinstance(value, str) or not 0 < len(value) <= _MAX_TEXT_CHARS:
+        raise FieldError(
+            name, f"is no text of 1 to {_MAX_TEXT_CHARS} characters"
+        )
     return value
 
 
-def read_whole(
-    raw: Mapping[str, Any], name: str, least: int, default: int | None = None
+def read_int(
+    raw: Mapping[str, Any], name: str, minimum: int, default: int | None = None
 ) -> int:
     """Returns a whole number; `default` where it may be missing."""
     value = raw.get(name)
     if value is None and default is not None:
         return default
-    if type(value) is not int or value < least:
-        raise FieldError(name, f"is no whole number of {least} or more")
+    if type(value) is not int or value < minimum:
+        raise FieldError(name, f"is no whole number of {minimum} or more")
     return value
 
 
@@ -95,9 +97,9 @@
     value = raw.get(name)
     if value is None:
         return []
-    if not isinstance(value, list) or len(value) > _LIST_MOST:
-        raise FieldError(name, f"is no list of {_LIST_MOST} parts at most")
-    return [read(part, name) for part in value]
+    if not isinstance(value, list) or len(value) > _MAX_LIST_ITEMS:
+        raise FieldError(name, f"is no list of {_MAX_LIST_ITEMS} parts at most")
+    return [read(item, name) for item in value]
 
 
 def read_address(raw: Mapping[str, Any], name: str) -> str:
@@ -109,6 +111,6 @@
     except ValueError as e:
         raise FieldError(name, "is no IP:PORT") from e
     is_number = port.isascii() and port.isdigit()
-    if not is_number or not 0 < int(port) <= _PORT_MOST:
+    if not is_number or not 0 < int(port) <= _MAX_PORT:
         raise FieldError(name, "is no IP:PORT")
     return value
--- a/src/wayslip/platform/kinds.py
+++ b/src/wayslip/platform/kinds.py
@@ -11,7 +11,7 @@
 CONFIGURATION_NAME = "main"
 
 
-def _refuse_to_write(value: object) -> Any:
+def _reject_write(value: object) -> Any:
     raise errors.ObjectError(
         "this kind is written by the platform only", "read it only"
     )
@@ -20,8 +20,8 @@
 CONFIGURATION: store.Kind[manifest.Manifest] = store.Kind(
     "config",
     lambda name, spec: decoding.decode_manifest(spec),
-    _refuse_to_write,
+    _reject_write,
 )
 ENDPOINTS: store.Kind[fleet.Endpoint] = store.Kind(
-    "servers", decoding.decode_endpoint, _refuse_to_write
+    "servers", decoding.decode_endpoint, _reject_write
 )
--- a/src/wayslip/platform/settings.py
+++ b/src/wayslip/platform/settings.py
@@ -10,16 +10,16 @@
 from wayslip.gateway import options
 
 _PATH_VARIABLE = "WAYSLIP_SETTINGS"
-_PATH = "/etc/wayslip/settings.toml"
+_DEFAULT_PATH = "/etc/wayslip/settings.toml"
 # Offsets from the first of the ports that are free between our processes.
-_PEERS_OFFSET = 0
-_METRICS_OFFSET = 1
+_PEERS_PORT_OFFSET = 0
+_METRICS_PORT_OFFSET = 1
 _BYTES_PER_MBIT = 125_000
 
 
 def find_path() -> pathlib.Path:
     """Returns the path that the environment names."""
-    return pathlib.Path(os.environ.get(_PATH_VARIABLE, _PATH))
+    return pathlib.Path(os.environ.get(_PATH_VARIABLE, _DEFAULT_PATH))
 
 
 def load(path: pathlib.Path) -> options.Options:
@@ -45,7 +45,7 @@
 def _decode(values: dict[str, Any]) -> options.Options:
     listen = values["listen"]
     ip = values["ip"]
-    first = int(values["internal_ports"][0])
+    first_port = int(values["internal_ports"][0])
     return options.Options(
         name=values["node_name"],
         ip=ip,
@@ -53,11 +53,11 @@
         callers=listen["front"],
         readiness=listen["ready"],
         store=values["platform"]["address"],
-        peers=f"{ip}:{first + _PEERS_OFFSET}",
-        metrics_port=first + _METRICS_OFFSET,
+        peers=f"{ip}:{first_port + _PEERS_PORT_OFFSET}",
+        metrics_port=first_port + _METRICS_PORT_OFFSET,
         bounds=_decode_bounds(values.get("bounds") or {}),
         cores=_decode_cores(values.get("limits") or {}),
-        bytes_per_s=_decode_link(values.get("limits") or {}),
+        bytes_per_s=_decode_bandwidth(values.get("limits") or {}),
     )
 
 
@@ -66,7 +66,7 @@
     return float(raw.get("cpu_share", 1.0)) * float(raw.get("cores", 1))
 
 
-def _decode_link(raw: dict[str, Any]) -> float:
+def _decode_bandwidth(raw: dict[str, Any]) -> float:
     """Returns what an instance's link carries, bytes a second."""
     mbps = float(raw.get("link_mbps") or 0)
     return mbps * _BYTES_PER_MBIT or options.Options.bytes_per_s
--- a/src/wayslip/platform/store.py
+++ b/src/wayslip/platform/store.py
@@ -32,32 +32,32 @@
 # clock it would be asked for from its first byte again, for ever.
 _STALL_SECONDS = 0.8
 # Nor may an answer trickle for ever, seconds: 1 MB over a tenth of that link.
-_ANSWER_SECONDS_MOST = 17.0
+_MAX_RESPONSE_SECONDS = 17.0
 _CONNECT_SECONDS = 0.4
 # Added to a watch's own waiting time before it is taken as lost, seconds.
-_WATCH_SLACK = 0.5
-_MS = 1000
+_WATCH_SLACK_SECONDS = 0.5
+_MS_PER_SECOND = 1000
 # Asks for an answer that may be seconds old, at a tenth of the price.
-_STALE = {"serializable": "1"}
-_ERA = b"store-era"
+_STALE_READ_PARAMETERS = {"serializable": "1"}
+_ERA_HEADER = b"store-era"
 # Connections for writes of one kind: lost answers then hold up a quarter.
-_WRITE_LINES = 4
+_WRITE_CONNECTIONS = 4
 
 
 @dataclasses.dataclass(frozen=True)
-class _Answer:
+class _Response:
     """An answer of the store.
 
     Attributes:
         era: Of the store's history that it belongs to.
         asked_at: Monotonic time at which the call began.
-        told_at: When its first bytes came.
+        head_received_at: When its first bytes came.
     """
 
     status: int
     body: Any
     asked_at: float
-    told_at: float
+    head_received_at: float
     era: int
 
 
@@ -71,10 +71,10 @@
 
     def __init__(self, address: tuple[str, int]) -> None:
         self._address = address
-        self._lines: dict[str, _Line] = {}
+        self._connections: dict[str, _StoreConnection] = {}
         self._era: int | None = None
         # Called when the store is seen to have come back from a copy.
-        self._listeners: list[Callable[[], None]] = []
+        self._restore_listeners: list[Callable[[], None]] = []
 
     @property
     def era(self) -> int:
@@ -83,15 +83,15 @@
 
     def on_restore(self, listener: Callable[[], None]) -> None:
         """Has a listener called when the store came back from a copy."""
-        self._listeners.append(listener)
+        self._restore_listeners.append(listener)
 
-    def _read_era(self, head: messages.Head) -> int:
+    def _observe_era(self, head: messages.Head) -> int:
         """Returns the era of an answer, and notes one that is new.
 
         Raises:
             ObjectUnavailableError: It is of an earlier era.
         """
-        text = head.header(_ERA)
+        text = head.header(_ERA_HEADER)
         era = int(text) if text.isdigit() else self.era
         if era < self.era:
             raise errors.ObjectUnavailableError(
@@ -103,7 +103,7 @@
             logs.event(
                 _LOG, "store_era", logging.WARNING, era=era, before=before
             )
-            for listener in self._listeners:
+            for listener in self._restore_listeners:
                 listener()
         return era
 
@@ -111,22 +111,22 @@
         self, kind: store.Kind[T], may_be_stale: bool = False
     ) -> store.Listing[T]:
         """Returns all objects of a kind."""
-        found: list[_Read[T]] = []
-        fields = dict(_STALE) if may_be_stale else {}
-        first: _Answer | None = None
+        found: list[_ReadResult[T]] = []
+        parameters = dict(_STALE_READ_PARAMETERS) if may_be_stale else {}
+        first: _Response | None = None
         while True:
-            answer = await self._read(kind, kind.name, fields)
-            _expect(answer.status, 200)
+            response = await self._read(kind, kind.name, parameters)
+            _expect_status(response.status, 200)
             # A page may be newer than the first; watching from the first
             # one's revision repeats changes and leaves none out.
-            first = first or answer
+            first = first or response
             page = [
-                _read_object(kind, raw, answer.era)
-                for raw in answer.body["items"]
+                _read_object(kind, raw, response.era)
+                for raw in response.body["items"]
             ]
             found += page
-            if not answer.body.get("has_more") or not page:
-                if answer.era != first.era:
+            if not response.body.get("has_more") or not page:
+                if response.era != first.era:
                     raise errors.ObjectUnavailableError(
                         f"the store lost writes while {kind.name} was listed",
                         "list again",
@@ -137,29 +137,34 @@
                     first.asked_at,
                     tuple(f for f in found if isinstance(f, store.Refused)),
                 )
-            fields["after"] = page[-1].name
+            parameters["after"] = page[-1].name
 
     async def watch(
         self, kind: store.Kind[T], revision: int, wait: float
     ) -> store.Changes[T]:
         """Returns what changed, nothing if nothing did for `wait` seconds."""
-        self._check_era(kind, revision, self.era)
+        self._check_watch_era(kind, revision, self.era)
         since = position.find_revision(revision)
-        path = f"{_PREFIX}{kind.name}?watch={since}&wait_ms={int(wait * _MS)}"
-        line = self._line(f"watch-{kind.name}")
-        answer = await line.call("GET", path, None, wait + _WATCH_SLACK)
+        path = (
+            f"{_PREFIX}{kind.name}?watch={since}"
+            f"&wait_ms={int(wait * _MS_PER_SECOND)}"
+        )
+        connection = self._get_connection(f"watch-{kind.name}")
+        response = await connection.call(
+            "GET", path, None, wait + _WATCH_SLACK_SECONDS
+        )
         # The new history may have reached the same revision by now.
-        self._check_era(kind, revision, answer.era)
-        if answer.status == 410:
+        self._check_watch_era(kind, revision, response.era)
+        if response.status == 410:
             raise errors.WatchExpiredError(
                 f"revision {revision} of {kind.name} is no longer kept",
                 "list again",
             )
-        _expect(answer.status, 200)
+        _expect_status(response.status, 200)
         changes: list[store.Change[T]] = []
         refused = []
-        for event in answer.body.get("events") or ():
-            found = _read_object(kind, event["object"], answer.era)
+        for event in response.body.get("events") or ():
+            found = _read_object(kind, event["object"], response.era)
             if event.get("removed"):
                 changes.append(store.Change(found.name, None))
             elif isinstance(found, store.Refused):
@@ -169,13 +174,13 @@
                 changes.append(store.Change(found.name, found.value))
         return store.Changes(
             tuple(changes),
-            position.make(answer.era, int(answer.body["as_of"])),
-            answer.told_at,
+            position.make(response.era, int(response.body["as_of"])),
+            response.head_received_at,
             tuple(refused),
-            answer.asked_at,
+            response.asked_at,
         )
 
-    def _check_era(
+    def _check_watch_era(
         self, kind: store.Kind[Any], revision: int, era: int
     ) -> None:
         """Raises WatchExpiredError if a revision is of another era."""
@@ -190,11 +195,13 @@
     ) -> store.Stored[T] | None:
         """Returns an object, None if there is none."""
         path = f"{kind.name}/{urllib.parse.quote(name, safe='')}"
-        answer = await self._read(kind, path, _STALE if may_be_stale else {})
-        if answer.status == 404:
+        response = await self._read(
+            kind, path, _STALE_READ_PARAMETERS if may_be_stale else {}
+        )
+        if response.status == 404:
             return None
-        _expect(answer.status, 200)
-        return _decode(kind, answer.body, answer.era)
+        _expect_status(response.status, 200)
+        return _decode(kind, response.body, response.era)
 
     async def create(
         self, kind: store.Kind[T], name: str, value: T
@@ -202,8 +209,8 @@
         """Makes an object."""
         content = {"metadata": {"name": name}, "spec": kind.encode(value)}
         path = f"{_PREFIX}{kind.name}"
-        answer = await self._write(kind, name, "POST", path, content)
-        return _decode(kind, answer.body, answer.era)
+        response = await self._write(kind, name, "POST", path, content)
+        return _decode(kind, response.body, response.era)
 
     async def replace(
         self,
@@ -212,20 +219,20 @@
         max_wait: float | None = None,
     ) -> store.Stored[T]:
         """Replaces an object if it still has the revision it was read at."""
-        self._check_condition(stored.name, stored.revision, self.era)
+        self._check_write_era(stored.name, stored.revision, self.era)
         revision = position.find_revision(stored.revision)
         metadata = {"name": stored.name, "revision": revision}
         content = {"metadata": metadata, "spec": kind.encode(stored.value)}
         name = urllib.parse.quote(stored.name, safe="")
         path = f"{_PREFIX}{kind.name}/{name}"
-        answer = await self._write(
+        response = await self._write(
             kind, stored.name, "PUT", path, content, max_wait
         )
         # What was written over may have been another writer's by then.
-        self._check_condition(stored.name, stored.revision, answer.era)
-        return _decode(kind, answer.body, answer.era)
+        self._check_write_era(stored.name, stored.revision, response.era)
+        return _decode(kind, response.body, response.era)
 
-    def _check_condition(self, name: str, revision: int, era: int) -> None:
+    def _check_write_era(self, name: str, revision: int, era: int) -> None:
         """Raises ObjectConflictError if a condition is of another era."""
         if position.find_era(revision) != era:
             raise errors.ObjectConflictError(
@@ -236,26 +243,26 @@
         self, kind: store.Kind[T], name: str, revision: int
     ) -> None:
         """Removes an object if it still has a revision."""
-        self._check_condition(name, revision, self.era)
+        self._check_write_era(name, revision, self.era)
         quoted = urllib.parse.quote(name, safe="")
         number = position.find_revision(revision)
         path = f"{_PREFIX}{kind.name}/{quoted}?revision={number}"
-        answer = await self._write_line(kind, name).call(
+        response = await self._get_write_connection(kind, name).call(
             "DELETE", path, None, _CALL_SECONDS
         )
-        if answer.status in (404, 409):
+        if response.status in (404, 409):
             raise errors.ObjectConflictError(
                 f"{path} was changed by somebody else", "read it again"
             )
-        _expect(answer.status, 200, 204)
+        _expect_status(response.status, 200, 204)
 
     async def _read(
-        self, kind: store.Kind[T], path: str, fields: Mapping[str, str]
-    ) -> _Answer:
+        self, kind: store.Kind[T], path: str, parameters: Mapping[str, str]
+    ) -> _Response:
         """Returns the answer to a read of a kind, or of one object."""
-        query = urllib.parse.urlencode(fields, quote_via=urllib.parse.quote)
+        query = urllib.parse.urlencode(parameters, quote_via=urllib.parse.quote)
         target = f"{_PREFIX}{path}?{query}" if query else f"{_PREFIX}{path}"
-        return await self._line(f"read-{kind.name}").call(
+        return await self._get_connection(f"read-{kind.name}").call(
             "GET", target, None, _CALL_SECONDS
         )
 
@@ -267,38 +274,42 @@
         path: str,
         content: Any,
         max_wait: float | None = None,
-    ) -> _Answer:
-        answer = await self._write_line(kind, name).call(
+    ) -> _Response:
+        response = await self._get_write_connection(kind, name).call(
             method, path, content, max_wait or _CALL_SECONDS
         )
-        if answer.status in (404, 409):
+        if response.status in (404, 409):
             raise errors.ObjectConflictError(
                 f"{path} was changed by somebody else", "read it again"
             )
-        _expect(answer.status, 200, 201)
-        return answer
+        _expect_status(response.status, 200, 201)
+        return response
 
-    def _write_line(self, kind: store.Kind[Any], name: str) -> "_Line":
+    def _get_write_connection(
+        self, kind: store.Kind[Any], name: str
+    ) -> "_StoreConnection":
         """Returns the connection for writes of an object.
 
         A write whose answer is lost holds its connection up. So each kind has
         some of its own, over which its objects are spread.
         """
-        number = zlib.crc32(name.encode()) % _WRITE_LINES
-        return self._line(f"write-{kind.name}-{number}")
+        number = zlib.crc32(name.encode()) % _WRITE_CONNECTIONS
+        return self._get_connection(f"write-{kind.name}-{number}")
 
-    def _line(self, purpose: str) -> "_Line":
-        if purpose not in self._lines:
-            self._lines[purpose] = _Line(self._address, self._read_era)
-        return self._lines[purpose]
+    def _get_connection(self, purpose: str) -> "_StoreConnection":
+        if purpose not in self._connections:
+            self._connections[purpose] = _StoreConnection(
+                self._address, self._observe_era
+            )
+        return self._connections[purpose]
 
     def close(self) -> None:
         """Closes all connections."""
-        for line in self._lines.values():
-            line.close()
+        for connection in self._connections.values():
+            connection.close()
 
 
-class _Line:
+class _StoreConnection:
     """One connection to the store, used for one call after the other."""
 
     def __init__(
@@ -307,13 +318,13 @@
         read_era: Callable[[messages.Head], int],
     ) -> None:
         self._address = address
-        self._read_era = read_era
+        self._observe_era = read_era
         self._connection: client.Connection | None = None
         self._lock = asyncio.Lock()
 
     async def call(
         self, method: str, path: str, content: Any, seconds: float
-    ) -> _Answer:
+    ) -> _Response:
         """Returns the answer to a call.
 
         Args:
@@ -324,22 +335,22 @@
         """
         async with self._lock:
             is_done = False
-            began = clock.now()
-            reader = whole.ResponseReader(_STALL_SECONDS, _ANSWER_SECONDS_MOST)
+            started_at = clock.now()
+            reader = whole.ResponseReader(_STALL_SECONDS, _MAX_RESPONSE_SECONDS)
             try:
                 if not self._is_open:
                     seconds += _CONNECT_SECONDS
                 async with asyncio.timeout(seconds) as max_wait:
-                    answer = await self._exchange(
+                    response = await self._exchange(
                         method, path, content, reader, max_wait
                     )
                 is_done = True
-                return answer
+                return response
             except (TimeoutError, errors.EndpointError, ValueError) as e:
                 raise errors.ObjectUnavailableError(
                     f"the store did not answer {method} {path}"
                     f" ({type(e).__name__} after"
-                    f" {clock.now() - began:.2f} s and"
+                    f" {clock.now() - started_at:.2f} s and"
                     f" {reader.received} bytes)",
                     "wait for it; a write may have taken effect",
                 ) from e
@@ -354,7 +365,7 @@
         content: Any,
         reader: whole.ResponseReader,
         max_wait: asyncio.Timeout,
-    ) -> _Answer:
+    ) -> _Response:
         asked_at = clock.now()
         connection = self._connection
         if connection is None or not self._is_open:
@@ -365,9 +376,11 @@
             _format(self._address, method, path, content), lambda head: True
         )
         head, data = await reader.read(connection, max_wait)
-        era = self._read_era(head)
+        era = self._observe_era(head)
         body = read_json(data) if data else {}
-        return _Answer(head.status, body, asked_at, reader.told_at, era)
+        return _Response(
+            head.status, body, asked_at, reader.head_received_at, era
+        )
 
     @property
     def _is_open(self) -> bool:
@@ -394,8 +407,8 @@
     return head.encode("ascii") + b"\r\n" + body
 
 
-def _expect(status: int, *wanted: int) -> None:
-    if status not in wanted:
+def _expect_status(status: int, *expected: int) -> None:
+    if status not in expected:
         raise errors.ObjectUnavailableError(
             f"the store answered {status}", "wait, then call again"
         )
@@ -413,10 +426,10 @@
     return json.loads(data.decode("utf-8", "replace"), strict=False)
 
 
-_Read = store.Stored[T] | store.Refused
+_ReadResult = store.Stored[T] | store.Refused
 
 
-def _read_object(kind: store.Kind[T], raw: Any, era: int) -> _Read[T]:
+def _read_object(kind: store.Kind[T], raw: Any, era: int) -> _ReadResult[T]:
     """Returns an object, or why it can not be read."""
     try:
         return _decode(kind, raw, era)
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -14,16 +14,16 @@
     def decorate(test):
         def wrapper():
             async def body():
-                one = server.Server(
+                http_server = server.Server(
                     ("127.0.0.1", 0), application, lambda: LIMITS
                 )
-                await one.start()
+                await http_server.start()
                 try:
                     async with asyncio.timeout(10):
-                        await test(one)
+                        await test(http_server)
                 finally:
-                    one.stop_listening()
-                    one.abort_all()
+                    http_server.stop_listening()
+                    http_server.abort_all()
 
             asyncio.run(body())
 
@@ -38,8 +38,10 @@
     exchange.answer(200, (), request.method + b" " + request.body)
 
 
-async def exchange_bytes(one, *parts):
-    reader, writer = await asyncio.open_connection("127.0.0.1", one.port)
+async def exchange_bytes(http_server, *parts):
+    reader, writer = await asyncio.open_connection(
+        "127.0.0.1", http_server.port
+    )
     for part in parts:
         writer.write(part)
         await writer.drain()
@@ -50,9 +52,9 @@
 
 
 @serve(echo)
-async def test_chunked_body_is_put_together(one):
+async def test_chunked_body_is_reassembled(http_server):
     data = await exchange_bytes(
-        one,
+        http_server,
         b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n",
         b"3\r\nabc\r\n2\r\n",
         b"de\r\n0\r\n\r\n",
@@ -61,16 +63,16 @@
 
 
 @serve(echo)
-async def test_requests_sent_ahead_are_answered_in_order(one):
-    two = b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n"
-    data = await exchange_bytes(one, two % 1 + two % 2)
+async def test_pipelined_requests_are_answered_in_order(http_server):
+    request = b"GET /%d HTTP/1.1\r\nHost: h\r\n\r\n"
+    data = await exchange_bytes(http_server, request % 1 + request % 2)
     assert data.count(b"HTTP/1.1 200") == 2
 
 
 @serve(echo)
-async def test_conflicting_lengths_are_refused(one):
+async def test_conflicting_lengths_are_refused(http_server):
     data = await exchange_bytes(
-        one,
+        http_server,
         b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
         b"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /b HTTP/1.1\r\n\r\n",
     )
@@ -79,17 +81,19 @@
 
 
 @serve(echo)
-async def test_garbage_is_refused(one):
-    data = await exchange_bytes(one, b"\x00\x01 what\r\n\r\n")
+async def test_garbage_is_refused(http_server):
+    data = await exchange_bytes(http_server, b"\x00\x01 what\r\n\r\n")
     assert data.startswith(b"HTTP/1.1 400")
 
 
 @serve(echo)
-async def test_head_and_body_have_limits(one):
-    data = await exchange_bytes(one, b"GET / HTTP/1.1\r\nX: " + b"y" * 4000)
+async def test_head_and_body_have_limits(http_server):
+    data = await exchange_bytes(
+        http_server, b"GET / HTTP/1.1\r\nX: " + b"y" * 4000
+    )
     assert data.startswith(b"HTTP/1.1 431")
     data = await exchange_bytes(
-        one,
+        http_server,
         b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1500\r\n\r\n",
         b"z" * 1500,
     )
@@ -97,26 +101,30 @@
 
 
 @serve(echo)
-async def test_head_that_never_ends_is_given_up(one):
-    data = await exchange_bytes(one, b"GET / HTTP/1.1\r\nHost")
+async def test_incomplete_head_times_out(http_server):
+    data = await exchange_bytes(http_server, b"GET / HTTP/1.1\r\nHost")
     assert data.startswith(b"HTTP/1.1 408")
 
 
 @serve(echo)
-async def test_idle_connection_is_closed(one):
-    data = await exchange_bytes(one, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+async def test_idle_connection_is_closed(http_server):
+    data = await exchange_bytes(
+        http_server, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+    )
     assert data.startswith(b"HTTP/1.1 200")
 
 
-async def break_off(exchange):
+async def abort_midway(exchange):
     exchange.start(200, (), None)
     await exchange.send(b"half")
     exchange.abort()
 
 
-@serve(break_off)
-async def test_broken_answer_lacks_its_end(one):
-    reader, writer = await asyncio.open_connection("127.0.0.1", one.port)
+@serve(abort_midway)
+async def test_aborted_answer_lacks_its_end(http_server):
+    reader, writer = await asyncio.open_connection(
+        "127.0.0.1", http_server.port
+    )
     writer.write(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
     data = b""
     try:
@@ -132,35 +140,39 @@
 
 
 @serve(fail)
-async def test_fault_of_ours_is_answered(one):
-    data = await exchange_bytes(one, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+async def test_application_error_is_answered_with_500(http_server):
+    data = await exchange_bytes(
+        http_server, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+    )
     assert data.startswith(b"HTTP/1.1 500")
 
 
-LEFT = []
+CANCELLED = []
 
 
 async def wait_long(exchange):
     try:
         await asyncio.sleep(5)
     except asyncio.CancelledError:
-        LEFT.append(exchange.request.target)
+        CANCELLED.append(exchange.request.target)
         raise
 
 
 @serve(wait_long)
-async def test_application_is_cancelled_when_the_client_leaves(one):
-    _, writer = await asyncio.open_connection("127.0.0.1", one.port)
+async def test_application_is_cancelled_when_the_client_leaves(http_server):
+    _, writer = await asyncio.open_connection("127.0.0.1", http_server.port)
     writer.write(b"GET /gone HTTP/1.1\r\nHost: h\r\n\r\n")
-    while not one.active:
+    while not http_server.active:
         await asyncio.sleep(0.01)
     writer.close()
-    while b"/gone" not in LEFT:
+    while b"/gone" not in CANCELLED:
         await asyncio.sleep(0.01)
 
 
 @serve(echo)
-async def test_draining_server_tells_to_close(one):
-    one.is_draining = True
-    data = await exchange_bytes(one, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
+async def test_draining_server_announces_close(http_server):
+    http_server.is_draining = True
+    data = await exchange_bytes(
+        http_server, b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+    )
     assert b"connection: close" in data
--- a/tests/objects/test_kinds.py
+++ b/tests/objects/test_kinds.py
@@ -37,7 +37,7 @@
     assert kind.parse(kind.dump(parsed)) == parsed
 
 
-def test_configuration_survives_the_store():
+def test_configuration_round_trips():
     values = (
         configuration.Pool("p", ("e0",)),
         configuration.Model("m", "p", "v1"),
@@ -75,7 +75,7 @@
         client.get(kinds.LEDGER, "bad")
 
 
-def test_lost_answer_of_a_create_is_found_again(store):
+def test_create_with_lost_answer_is_recovered(store):
     api, client, _ = store
     api.faults.lose = 1.0
     wanted = ledger.Ledger("e1", 5, True)
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -4,15 +4,15 @@
 import re
 
 SOURCE = pathlib.Path(__file__).parents[2] / "src" / "wayslip"
-STARTERS = {SOURCE / "cli" / "gateway.py"}
-WORDS = re.compile(
+STARTUP_MODULES = {SOURCE / "cli" / "gateway.py"}
+PLATFORM_NAMES = re.compile(
     r"wayslip-(request-id|deadline-ms|server-seal|not-executed|target-inst)"
     r"|/wayslip/(objects|report|order|readiness)|target_latency_ms|at_hand",
     re.IGNORECASE,
 )
 
 
-def outside():
+def other_sources():
     for path in SOURCE.rglob("*.py"):
         if "platform" not in path.relative_to(SOURCE).parts:
             yield path
@@ -21,24 +21,24 @@
 def test_only_start_up_imports_the_adapter():
     importers = {
         path
-        for path in outside()
+        for path in other_sources()
         if re.search(
             r"from wayslip\.platform|import wayslip\.platform"
             r"|from wayslip import platform",
             path.read_text(),
         )
     }
-    assert importers == STARTERS
+    assert importers == STARTUP_MODULES
 
 
-def test_names_of_the_wire_stay_in_the_adapter():
+def test_wire_names_stay_in_the_adapter():
     found = {
         path.name: match.group()
-        for path in outside()
-        if (match := WORDS.search(path.read_text()))
+        for path in other_sources()
+        if (match := PLATFORM_NAMES.search(path.read_text()))
     }
     assert found == {}
 
 
-def test_the_check_sees_a_name():
-    assert WORDS.search('b"wayslip-server-seal"')
+def test_pattern_matches_a_name():
+    assert PLATFORM_NAMES.search('b"wayslip-server-seal"')
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -30,7 +30,7 @@
     assert route.choose_service(0.91) == "models"
 
 
-def test_heartbeats_count_is_not_taken_for_orders():
+def test_heartbeat_count_is_not_read_as_order_count():
     spec = platform_site.entry("models", "127.0.0.1:1", ["m1"], seq=900)
     endpoint = decoding.decode_endpoint("e1", spec)
     found = [n for n in endpoint.__slots__ if getattr(endpoint, n) == 900]
@@ -76,7 +76,7 @@
         {"name": "shop", "api_keys": [], "unit": "parsecs"},
     ],
 )
-def test_malformed_organisation_is_refused_without_telling_keys(organisation):
+def test_malformed_organisation_is_refused_without_revealing_keys(organisation):
     raw = platform_site.manifest()
     raw["tenants"] = [organisation]
     with pytest.raises(errors.ObjectError) as caught:
@@ -91,7 +91,7 @@
     assert state.models == {"m1": frozenset({"a3"})}
 
 
-def test_adapters_on_their_way_are_told():
+def test_loading_adapters_are_decoded():
     state = decoding.decode_state(
         {"seq": 1, "models": [], "coming": ["m1/a2@1"]}
     )
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -77,7 +77,7 @@
     assert body == b"body"
 
 
-def test_headers_that_only_the_system_sets_are_not_a_clients_to_send():
+def test_reserved_headers_of_clients_are_removed():
     data = DIALECT.format_request(
         request(
             wayslip_request_id="r1",
@@ -138,7 +138,7 @@
     assert answer.load == fleet.Load(3, 1, 8)
 
 
-def test_refusals_are_told_apart_from_failures():
+def test_refusals_are_distinguished_from_failures():
     assert DIALECT.read_answer(head(503, wayslip_not_executed="1")).is_refusal
     misdirected = DIALECT.read_answer(head(421))
     assert misdirected.is_refusal and misdirected.is_misdirected
@@ -176,7 +176,7 @@
     assert DIALECT.read_request(request(wayslip_request_id="r1")).key is None
 
 
-def test_of_two_keys_that_differ_none_counts():
+def test_differing_keys_match_no_caller():
     asked = request(wayslip_request_id="r1", wayslip_key="secret-1")
     twice = dataclasses.replace(
         asked, headers=(*asked.headers, (b"wayslip-key", b"secret-2"))
@@ -193,7 +193,7 @@
     assert found == organisations.hash_key(b"secret-1")
 
 
-def test_word_of_leaving_is_read():
+def test_leaving_notice_is_read():
     assert DIALECT.read_answer(head(server_leaving="1")).is_leaving
     assert not DIALECT.read_answer(head(server_leaving="0")).is_leaving
     assert not DIALECT.read_answer(head()).is_leaving
@@ -213,14 +213,14 @@
         ("7200", 3600.0),
     ],
 )
-def test_time_to_rest_is_read_and_bounded(text, seconds):
+def test_backoff_is_read_and_bounded(text, seconds):
     answer = DIALECT.read_answer(
         head(503, wayslip_not_executed="1", retry_after=text)
     )
     assert answer.rest == seconds
 
 
-def test_rest_is_asked_for_by_refusals_alone():
+def test_backoff_is_read_from_refusals_only():
     assert DIALECT.read_answer(head(503, retry_after="3")).rest is None
     refusal = head(429, wayslip_not_executed="1", retry_after="3")
     assert DIALECT.read_answer(refusal).rest is None
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -112,7 +112,7 @@
 
 
 @hypothesis.given(_VALUES | _MUTATED)
-def test_decoders_refuse_what_they_can_not_read(value):
+def test_decoders_raise_only_their_own_error(value):
     for decode, error in (
         (lambda v: decoding.decode_endpoint("e1", v), errors.ObjectError),
         (decoding.decode_state, errors.EndpointError),
@@ -140,7 +140,7 @@
 
 
 @with_client
-async def _read_mixture(standin, client, entries):
+async def _read_mixed_entries(standin, client, entries):
     """Reads good and bad entries by a list and by a watch."""
     revision = (await client.list(kinds.ENDPOINTS)).revision
     for number, (entry, _) in enumerate(entries):
@@ -169,18 +169,18 @@
 
 @hypothesis.settings(max_examples=30)
 @hypothesis.given(_ENTRIES)
-def test_bad_entries_take_nothing_else_along(entries):
-    asyncio.run(_read_mixture(entries))
+def test_bad_entries_do_not_affect_others(entries):
+    asyncio.run(_read_mixed_entries(entries))
 
 
-def test_bytes_that_are_no_text_take_nothing_else_along():
+def test_invalid_bytes_do_not_affect_other_fields():
     good = json.dumps({"metadata": {"name": "e1"}, "spec": "\u0001"}).encode()
     found = store.read_json(good.replace(b"\\u0001", b"\x01\xff\xc3"))
     assert found["metadata"] == {"name": "e1"}
 
 
 @harness.run
-async def test_stranger_takes_no_engine_away(system):
+async def test_malformed_entries_remove_no_engine(system):
     await system.add("e1", "plain")
     await system.add("e2", "plain")
     system.store.put("servers", "bad", {"service": 3})
@@ -198,7 +198,7 @@
 
 
 @harness.run
-async def test_entry_that_was_overwritten_names_no_engine(system):
+async def test_malformed_overwrite_removes_the_engine(system):
     await system.add("e1", "plain")
     good = system.store.objects["servers"]["e1"]["spec"]
     system.store.put("servers", "e1", {**good, "slots": "many"})
@@ -208,7 +208,7 @@
 
 
 @harness.run
-async def test_configuration_that_can_not_be_read_holds_up_no_other(system):
+async def test_unreadable_configuration_does_not_block_the_next(system):
     bad = {"version": 2, "routes": [{}], "services": []}
     system.store.put("config", "main", bad)
     await asyncio.sleep(0.1)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -21,7 +21,7 @@
 """
 
 
-def test_settings_are_read_and_unknown_fields_passed_over(tmp_path):
+def test_settings_are_read_and_unknown_fields_ignored(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(TEXT)
     options = settings.load(path)
@@ -59,7 +59,7 @@
         (TEXT.replace("[7380, 7395]", "[]"), "correct that field"),
     ],
 )
-def test_bad_settings_are_one_line_with_a_remedy(tmp_path, text, word):
+def test_bad_settings_give_one_line_and_a_remedy(tmp_path, text, word):
     path = tmp_path / "settings.toml"
     path.write_text(text)
     with pytest.raises(errors.SettingsError, match=word.strip("'")) as caught:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -69,7 +69,7 @@
 
 
 @with_store
-async def test_watch_tells_changes_and_removals(standin, client):
+async def test_watch_returns_removals(standin, client):
     add_endpoints(standin, 2)
     listing = await client.list(kinds.ENDPOINTS)
     standin.remove("servers", "e0")
@@ -78,7 +78,7 @@
 
 
 @with_store
-async def test_forgotten_history_is_told(standin, client):
+async def test_watch_expires_when_history_is_discarded(standin, client):
     listing = await client.list(kinds.ENDPOINTS)
     add_endpoints(standin, 1)
     standin.forget_history()
@@ -104,7 +104,7 @@
 
 
 @with_store
-async def test_lost_answer_leaves_the_write_open(standin, client):
+async def test_write_with_lost_answer_may_have_taken_effect(standin, client):
     standin.faults.loses_writes = 1
     value = lease.Lease("g1", "127.0.0.1:1", 1)
     with pytest.raises(errors.ObjectUnavailableError):
@@ -115,7 +115,7 @@
 
 
 @with_store
-async def test_outage_and_silence_are_told(standin, client):
+async def test_outage_and_silence_raise_unavailable(standin, client):
     standin.faults.is_down = True
     with pytest.raises(errors.ObjectUnavailableError):
         await client.list(kinds.ENDPOINTS)
@@ -128,7 +128,7 @@
 
 
 @with_store
-async def test_claims_keep_their_open_order(standin, client):
+async def test_claim_keeps_its_pending_order(standin, client):
     pending = lease.Pending("e1", 4, lease.Action.LOAD, "m1", "a2")
     claim = lease.Claim("e1", "g1", 17, pending)
     stored = await client.create(records.CLAIM, "e1", claim)
@@ -136,14 +136,14 @@
 
 
 @with_store
-async def test_malformed_object_is_told(standin, client):
+async def test_malformed_object_raises_an_error(standin, client):
     standin.put("wayslip-claims", "e1", {"holder": 3})
     with pytest.raises(errors.ObjectError, match="malformed"):
         await client.get(records.CLAIM, "e1")
 
 
 @with_store
-async def test_lost_answer_holds_up_no_write_of_another_kind(standin, client):
+async def test_lost_answer_blocks_no_write_of_another_kind(standin, client):
     standin.faults.mutes_writes = 1
     claim = lease.Claim("e1", "g1", 1)
     waiting = asyncio.create_task(client.create(records.CLAIM, "e1", claim))
@@ -166,13 +166,13 @@
 #       /wayslip/objects/config?serializable=1 (TimeoutError)"   47 instances
 #   65 to 76 s: 340 to 600 KB in each second, 20 KB before
 _ROUTES = 1400
-_NARROW = 150_000
+_NARROW_LINK_BYTES_PER_S = 150_000
 
 
 @with_store
 async def test_large_configuration_is_read_over_a_narrow_link(standin, client):
     standin.put("config", "main", platform_site.large_manifest(2, _ROUTES))
-    standin.faults.bytes_per_s = _NARROW
+    standin.faults.bytes_per_s = _NARROW_LINK_BYTES_PER_S
     listing = await client.list(kinds.CONFIGURATION)
     assert listing.items[0].value.version == 2
 
@@ -182,16 +182,16 @@
     standin.put("config", "main", platform_site.manifest())
     listing = await client.list(kinds.CONFIGURATION)
     standin.put("config", "main", platform_site.large_manifest(2, _ROUTES))
-    standin.faults.bytes_per_s = _NARROW
+    standin.faults.bytes_per_s = _NARROW_LINK_BYTES_PER_S
     changes = await client.watch(kinds.CONFIGURATION, listing.revision, 0.1)
     assert [c.value.version for c in changes.items] == [2]
 
 
 @with_store
-async def test_large_answer_holds_up_no_read_of_another_kind(standin, client):
+async def test_large_answer_blocks_no_read_of_another_kind(standin, client):
     standin.put("config", "main", platform_site.large_manifest(2, _ROUTES))
     add_endpoints(standin, 1)
-    standin.faults.bytes_per_s = _NARROW
+    standin.faults.bytes_per_s = _NARROW_LINK_BYTES_PER_S
     large = asyncio.create_task(client.list(kinds.CONFIGURATION))
     await asyncio.sleep(0.1)
     await client.list(kinds.ENDPOINTS)
@@ -200,9 +200,9 @@
 
 
 @with_store
-async def test_answer_that_stops_midway_is_given_up(standin, client):
+async def test_stalled_answer_is_abandoned(standin, client):
     standin.put("config", "main", platform_site.large_manifest(2, _ROUTES))
-    standin.faults.bytes_per_s = _NARROW
+    standin.faults.bytes_per_s = _NARROW_LINK_BYTES_PER_S
     standin.faults.stalls_after = 10_500
     with pytest.raises(errors.ObjectUnavailableError, match="10500 bytes"):
         await client.list(kinds.CONFIGURATION)
@@ -214,7 +214,7 @@
 # A store that comes back from a copy
 
 
-async def return_from_copy(standin, lost=10):
+async def back_up_then_write(standin, lost=10):
     standin.keep_backup()
     for number in range(lost):
         standin.put("others", f"o{number}", {})
@@ -222,27 +222,27 @@
 
 
 @with_store
-async def test_watch_ends_though_the_new_history_has_reached_its_revision(
+async def test_watch_expires_after_restore_at_a_reused_revision(
     standin, client
 ):
     add_endpoints(standin, 1)
-    last = await return_from_copy(standin)
+    last = await back_up_then_write(standin)
     listing = await client.list(kinds.ENDPOINTS)
     standin.return_to_backup()
     add_endpoints(standin, 20)
     assert standin.revision > last
     with pytest.raises(errors.WatchExpiredError):
         await client.watch(kinds.ENDPOINTS, listing.revision, 0.1)
-    anew = await client.list(kinds.ENDPOINTS)
-    assert anew.revision > listing.revision
-    changes = await client.watch(kinds.ENDPOINTS, anew.revision, 0.01)
-    assert changes.revision == anew.revision
+    relisted = await client.list(kinds.ENDPOINTS)
+    assert relisted.revision > listing.revision
+    changes = await client.watch(kinds.ENDPOINTS, relisted.revision, 0.01)
+    assert changes.revision == relisted.revision
 
 
 @with_store
-async def test_watch_that_waits_meanwhile_ends(standin, client):
+async def test_waiting_watch_expires_on_restore(standin, client):
     add_endpoints(standin, 1)
-    await return_from_copy(standin)
+    await back_up_then_write(standin)
     listing = await client.list(kinds.ENDPOINTS)
     waiting = asyncio.create_task(
         client.watch(kinds.ENDPOINTS, listing.revision, 0.5)
@@ -254,9 +254,9 @@
 
 
 @with_store
-async def test_answer_of_an_earlier_era_is_not_taken(standin, client):
+async def test_answer_of_an_earlier_era_is_rejected(standin, client):
     add_endpoints(standin, 1)
-    await return_from_copy(standin)
+    await back_up_then_write(standin)
     standin.return_to_backup()
     await client.list(kinds.ENDPOINTS)
     standin.era -= 1
@@ -291,16 +291,18 @@
 
 
 @with_store
-async def test_return_is_told_once_and_not_at_the_first_answer(standin, client):
-    told = []
-    client.on_restore(lambda: told.append(client.era))
+async def test_restore_is_notified_once_and_not_on_first_answer(
+    standin, client
+):
+    notified = []
+    client.on_restore(lambda: notified.append(client.era))
     add_endpoints(standin, 1)
-    await return_from_copy(standin)
+    await back_up_then_write(standin)
     await client.list(kinds.ENDPOINTS)
-    assert not told
+    assert not notified
     standin.return_to_backup()
     standin.faults.is_down = True
     for _ in range(2):
         with pytest.raises(errors.ObjectUnavailableError):
             await client.list(kinds.ENDPOINTS)
-    assert told == [2]
+    assert notified == [2]
