--- a/src/wayslip/platform/__init__.py
+++ b/src/wayslip/platform/__init__.py
@@ -1,6 +1,6 @@
-"""What the users' platform speaks: names, formats and calls.
+"""Adapter to the users' platform: names, formats and calls.
 
-Nothing here decides. Everything is decoded once into the types of
-`wayslip.decisions` and `wayslip.gateway`; only start-up code imports this
+It makes no decisions. Input is decoded once into the types of
+`wayslip.decisions` and `wayslip.gateway`. Only start-up code imports this
 package, which `tests/platform/test_boundary.py` checks.
 """
--- a/src/wayslip/platform/decoding.py
+++ b/src/wayslip/platform/decoding.py
@@ -19,7 +19,7 @@
 
 
 def decode_manifest(spec: Any) -> manifest.Manifest:
-    """Returns the configuration that an operator wrote.
+    """Returns the configuration from its object in the store.
 
     Raises:
         ObjectError: A field is missing or has the wrong form.
@@ -121,7 +121,7 @@
         name=raw["name"],
         weights_mb=float(raw["weights_mb"]),
         adapter_mb=float(raw.get("adapter_mb") or 0),
-        # A count; they are named a1, a2 and so on.
+        # The field is a count; the adapters are named a1, a2 and so on.
         adapters=tuple(
             f"a{n}" for n in range(1, int(raw.get("adapters") or 0) + 1)
         ),
@@ -148,10 +148,10 @@
 
 
 def decode_endpoint(name: str, spec: Any) -> fleet.Endpoint:
-    """Returns an endpoint from its own entry in the store.
+    """Returns an endpoint from its entry in the store.
 
-    The entry's `seq` counts its heartbeats, not the orders it took, which
-    have the same name in a report.
+    The entry's `seq` counts heartbeats. In an engine's report, the field of
+    the same name counts accepted orders.
 
     Raises:
         ObjectFieldError: A field is missing or has the wrong form.
@@ -178,13 +178,15 @@
     except fields.FieldError as e:
         raise errors.ObjectFieldError(
             f"the entry of endpoint {name} is malformed ({e})",
-            "see who wrote it; it names no endpoint until it is whole",
+            "find its writer; the entry is ignored until it is valid",
             e.field,
         ) from e
 
 
 def decode_state(body: Any) -> fleet.EngineState:
-    """Returns an engine's report; its `seq` counts the orders it took.
+    """Returns an engine's state from its report.
+
+    The report's `seq` counts the orders that the engine accepted.
 
     Raises:
         EndpointError: A field is missing or has the wrong form.
@@ -211,7 +213,7 @@
 def _read_state(raw: Mapping[str, Any]) -> str:
     state = fields.read_text(raw, "state")
     if state not in _STATES:
-        raise fields.FieldError("state", f"is none of {', '.join(_STATES)}")
+        raise fields.FieldError("state", f"is not one of {', '.join(_STATES)}")
     return state
 
 
@@ -224,7 +226,7 @@
 
 
 def _decode_resident_model(item: Any, name: str) -> tuple[str, frozenset[str]]:
-    """Returns a model and its adapters that an engine holds."""
+    """Returns a resident model and its resident adapters."""
     model = fields.read_object(item, name)
     with fields.within_field(name):
         adapters = fields.read_list(model, "adapters", _decode_adapter)
@@ -237,11 +239,11 @@
 
 
 def _decode_pending_load(item: Any, name: str) -> fleet.Item:
-    """Returns the item of "MODEL/ADAPTER@VERSION"."""
+    """Returns the item that "MODEL/ADAPTER@VERSION" names."""
     text = fields.check_text(item, name)
     return text.partition("/")[0], _adapter_name(text)
 
 
 def _adapter_name(text: str) -> str:
-    """Returns an adapter's plain name, whichever way it is spelt."""
+    """Returns an adapter's name without its model and version."""
     return text.rpartition("/")[2].partition("@")[0]
--- a/src/wayslip/platform/dialect.py
+++ b/src/wayslip/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's request and answer headers."""
+"""The platform's request and response headers."""
 
 from collections.abc import Callable
 import math
@@ -29,17 +29,16 @@
 _EVENT_STREAM = b"text/event-stream"
 _MISDIRECTED = 421
 _UNAVAILABLE = 503
-# An endpoint that asks for more rest than this has meant something else,
-# seconds.
+# Upper limit for the back-off that an endpoint asks for. A longer one is
+# probably a mistake of the endpoint.
 _MAX_BACKOFF_SECONDS = 3600.0
 _LOWEST_PRIORITY = 9
-# Names that begin so belong to the platform: engines act on them, some with an
-# underscore in place of each hyphen too.
+# Header names with these prefixes are reserved for the platform. Engines act
+# on them, and on some also where underscores replace the hyphens.
 _RESERVED_PREFIXES = (b"wayslip-", b"kv-")
-# The reserved ones that are a client's to send. Everything else there is ours
-# to set: a client's would take an engine's memory, steer its fetches, or have
-# idle engines turn the request away. Worth of a first user: 0.351 to 0.399,
-# +0.048 +- 0.018, paired over 15 runs of its days.
+# Reserved headers that clients may send. All others are set by the gateway
+# only: sent by a client, they could occupy an engine's memory, redirect its
+# fetches, or make idle engines refuse the request.
 _CLIENT_HEADERS = frozenset(
     {
         _REQUEST_ID,
@@ -56,7 +55,7 @@
     """Implements `wayslip.gateway.dialect.Dialect`."""
 
     def read_request(self, request: messages.Request) -> dialect.Traits | None:
-        """Returns a request's traits, None if it names no id."""
+        """Returns a request's traits, None if it has no request id."""
         sent = dict(reversed(request.headers))
         request_id = sent.get(_REQUEST_ID, b"").decode("latin-1")
         if not request_id:
@@ -106,10 +105,10 @@
     def match_answer(
         self, request_id: str, is_reused: bool
     ) -> Callable[[messages.Head], bool]:
-        """Returns whether a head answers a request, as a function.
+        """Returns a predicate for the heads that answer a request.
 
-        On a connection that served before, an answer without an id may be a
-        surplus one, so it is passed over.
+        On a reused connection, a response without an id may belong to an
+        earlier request, so it does not match.
         """
         expected = request_id.encode("latin-1")
 
@@ -120,7 +119,7 @@
         return matches
 
     def read_answer(self, head: messages.Head) -> dialect.Answer:
-        """Returns what an answer's head says."""
+        """Returns the information in a response's head."""
         is_genuine = bool(head.header(_SEAL)) and not head.header(
             _CONTENT_ENCODING
         )
@@ -137,12 +136,12 @@
         )
 
     def make_retry_after(self, seconds: float) -> messages.Headers:
-        """Returns the headers of a refusal that says when to come back."""
+        """Returns the headers that tell a refused client when to retry."""
         return ((_RETRY_AFTER, f"{seconds:.2f}".encode("ascii")),)
 
 
 def _find_reserved(headers: messages.Headers) -> frozenset[bytes]:
-    """Returns the names of headers that only the system may set."""
+    """Returns the names of headers that clients may not set."""
     return frozenset(
         name
         for name, _ in headers
@@ -154,8 +153,8 @@
 def _read_key(headers: messages.Headers) -> bytes | None:
     """Returns the digest of a client's key, None if it sent none.
 
-    Of several that differ none is the client's for sure; their digest is that
-    of a text that can be no key.
+    With several different keys, it is unclear which one is the client's. The
+    digest is then that of a text that no key can equal.
     """
     sent = {value for name, value in headers if name == _CALLER_KEY}
     if not sent:
@@ -171,7 +170,7 @@
 
 
 def _read_backoff_seconds(head: messages.Head) -> float | None:
-    """Returns the seconds of rest that a refusal asks for."""
+    """Returns the back-off that a refusal asks for, None without one."""
     if head.status != _UNAVAILABLE or not head.header(_NOT_RUN):
         return None
     seconds = _read_non_negative(head.header(_RETRY_AFTER))
@@ -181,12 +180,12 @@
 
 
 def _read_rate_limit(head: messages.Head) -> float | None:
-    """Returns the requests a second that an endpoint takes from all."""
+    """Returns an endpoint's limit in requests per second, for all instances."""
     return _read_non_negative(head.header(_RATE_LIMIT))
 
 
 def _read_non_negative(text: bytes) -> float | None:
-    """Returns a decimal number, None if there is none that makes sense."""
+    """Returns a finite number of 0 or more, None for any other text."""
     try:
         number = float(text)
     except ValueError:
--- a/src/wayslip/platform/engines.py
+++ b/src/wayslip/platform/engines.py
@@ -1,4 +1,4 @@
-"""Reports of and orders to the platform's engines."""
+"""Client for the reports and orders of the platform's engines."""
 
 import json
 
@@ -12,7 +12,8 @@
 
 _REPORT_PATH = "/wayslip/report"
 _ORDER_PATH = "/wayslip/order"
-# Both are answered at once; a lost packet takes a few hundred ms, seconds.
+# Engines answer both calls at once, but retransmitting a lost packet takes a
+# few hundred milliseconds.
 _CALL_SECONDS = 0.7
 _OUTCOMES = {
     200: engines.OrderOutcome.HELD,
@@ -26,15 +27,20 @@
 class PlatformEngines:
     """Implements `wayslip.gateway.engines.EngineClient`.
 
-    Its connections are its own: a surplus answer to a client's request must
-    not be taken for the answer to an order.
+    It has its own connections, so that a late response to a client's request
+    cannot be mistaken for the response to an order.
     """
 
     def __init__(self) -> None:
         self._pool = pool.Pool(_CALL_SECONDS)
 
     async def report(self, endpoint: fleet.Endpoint) -> fleet.EngineState:
-        """Returns what an engine says of itself."""
+        """Returns the state that an engine reports.
+
+        Raises:
+            EndpointError: The engine did not answer, or not with a valid
+                report.
+        """
         status, data = await self._pool.fetch(
             endpoint.name,
             addresses.split_address(endpoint.address),
@@ -43,14 +49,14 @@
         )
         if status != 200:
             raise errors.EndpointError(
-                f"{endpoint.name} answered {status} to a report",
+                f"{endpoint.name} answered {status} to a report call",
                 "see the engine's log",
             )
         try:
             return decoding.decode_state(json.loads(data))
         except ValueError as e:
             raise errors.EndpointError(
-                f"the report of {endpoint.name} is no JSON",
+                f"the report of {endpoint.name} is not valid JSON",
                 "see the engine's log",
             ) from e
 
@@ -60,11 +66,11 @@
         order: lease.Pending,
         authority: engines.Authority,
     ) -> engines.OrderOutcome:
-        """Sends an order once."""
+        """Sends an order once, without retries."""
         body = {
             "operation": order.action.value,
             "model": order.model,
-            # The orders that the engine has taken so far, not a revision.
+            # The number of orders that the engine accepted, not a revision.
             "expected_count": order.orders,
             "holder": authority.holder,
             "fencing_token": authority.token,
@@ -86,7 +92,7 @@
         except errors.EndpointError:
             return engines.OrderOutcome.UNKNOWN
         if status == 421:
-            # Either it is another engine, or the model is not there.
+            # Another engine has the address, or the model is not there.
             return engines.OrderOutcome.ELSEWHERE
         return _OUTCOMES.get(status, engines.OrderOutcome.UNKNOWN)
 
--- a/src/wayslip/platform/fields.py
+++ b/src/wayslip/platform/fields.py
@@ -1,7 +1,7 @@
-"""Fields of JSON objects, read strictly: a type that is not meant is refused.
+"""Strict readers of JSON object fields, which reject unexpected types.
 
-Whoever wrote an object may not know our fields. JSON's true is no number
-here, a number no text, and nothing is converted.
+Objects may come from writers that do not follow the schema. No type is
+converted: JSON's true is not a number, and a number is not a string.
 """
 
 from collections.abc import Callable
@@ -13,19 +13,19 @@
 from typing import TypeVar
 
 T = TypeVar("T")
-# Longer than any name or address that is in use, characters.
+# Longer than any name or address in use.
 _MAX_TEXT_CHARS = 512
-# More models, adapters or copies than an engine has room for, by far.
+# Far more models, adapters or copies than fit on an engine.
 _MAX_LIST_ITEMS = 10_000
 _MAX_PORT = 65_535
 
 
 class FieldError(ValueError):
-    """A field is missing or is not what it should be.
+    """A field is missing or has an unexpected value.
 
     Attributes:
-        field: Its name.
-        reason: What it is or is not.
+        field: The field's name; nested fields are separated by slashes.
+        reason: What is wrong, as the end of a sentence.
     """
 
     def __init__(self, field: str, reason: str) -> None:
@@ -36,7 +36,7 @@
 
 @contextlib.contextmanager
 def within_field(name: str) -> Iterator[None]:
-    """Has errors about fields of an object name the object's field too."""
+    """Prefixes the field names in errors with the enclosing field's name."""
     try:
         yield
     except FieldError as e:
@@ -44,22 +44,22 @@
 
 
 def read_object(raw: Any, name: str) -> Mapping[str, Any]:
-    """Returns an object; `name` is what it is called in errors."""
+    """Returns a JSON object; errors call it `name`."""
     if not isinstance(raw, Mapping):
-        raise FieldError(name, "is no object")
+        raise FieldError(name, "is not an object")
     return raw
 
 
 def read_text(raw: Mapping[str, Any], name: str) -> str:
-    """Returns a text that is not empty."""
+    """Returns a field that must be a non-empty string."""
     return check_text(raw.get(name), name)
 
 
 def check_text(value: Any, name: str) -> str:
-    """Returns a value that is a text and not empty."""
+    """Returns a value that must be a non-empty string."""
     if not isinstance(value, str) or not 0 < len(value) <= _MAX_TEXT_CHARS:
         raise FieldError(
-            name, f"is no text of 1 to {_MAX_TEXT_CHARS} characters"
+            name, f"is not a string of 1 to {_MAX_TEXT_CHARS} characters"
         )
     return value
 
@@ -67,50 +67,59 @@
 def read_int(
     raw: Mapping[str, Any], name: str, minimum: int, default: int | None = None
 ) -> int:
-    """Returns a whole number; `default` where it may be missing."""
+    """Returns an integer field.
+
+    Args:
+        raw: The object.
+        name: The field's name.
+        minimum: Smaller values are rejected.
+        default: Returned if the field is missing; None if it is required.
+    """
     value = raw.get(name)
     if value is None and default is not None:
         return default
     if type(value) is not int or value < minimum:
-        raise FieldError(name, f"is no whole number of {minimum} or more")
+        raise FieldError(name, f"is not an integer of {minimum} or more")
     return value
 
 
 def read_flag(raw: Mapping[str, Any], name: str) -> bool:
-    """Returns true or false; false where it is missing."""
+    """Returns a Boolean field, False if it is missing."""
     value = raw.get(name, False)
     if not isinstance(value, bool):
-        raise FieldError(name, "is neither true nor false")
+        raise FieldError(name, "is not a Boolean")
     return value
 
 
 def read_list(
     raw: Mapping[str, Any], name: str, read: Callable[[Any, str], T]
 ) -> list[T]:
-    """Returns a list; an empty one where it is missing.
+    """Returns a list field, an empty list if it is missing.
 
     Args:
         raw: The object.
-        name: Of the field.
-        read: Checks and converts one part; is given the field's name too.
+        name: The field's name.
+        read: Checks and converts one item; also receives the field's name.
     """
     value = raw.get(name)
     if value is None:
         return []
     if not isinstance(value, list) or len(value) > _MAX_LIST_ITEMS:
-        raise FieldError(name, f"is no list of {_MAX_LIST_ITEMS} parts at most")
+        raise FieldError(
+            name, f"is not a list of at most {_MAX_LIST_ITEMS} items"
+        )
     return [read(item, name) for item in value]
 
 
 def read_address(raw: Mapping[str, Any], name: str) -> str:
-    """Returns an address, "IP:PORT"."""
+    """Returns an address field, "IP:PORT" with an IPv4 address."""
     value = read_text(raw, name)
     host, _, port = value.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
     except ValueError as e:
-        raise FieldError(name, "is no IP:PORT") from e
+        raise FieldError(name, "is not an IPv4 IP:PORT") from e
     is_number = port.isascii() and port.isdigit()
     if not is_number or not 0 < int(port) <= _MAX_PORT:
-        raise FieldError(name, "is no IP:PORT")
+        raise FieldError(name, "is not an IPv4 IP:PORT")
     return value
--- a/src/wayslip/platform/kinds.py
+++ b/src/wayslip/platform/kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of objects in the platform's store that the gateway uses."""
+"""Kinds of objects in the platform's store that the gateway reads."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 
 def _reject_write(value: object) -> Any:
     raise errors.ObjectError(
-        "this kind is written by the platform only", "read it only"
+        "only the platform writes objects of this kind", "only read them"
     )
 
 
--- a/src/wayslip/platform/settings.py
+++ b/src/wayslip/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of an instance."""
+"""Reader for an instance's settings file in the platform's format."""
 
 import os
 import pathlib
@@ -11,22 +11,23 @@
 
 _PATH_VARIABLE = "WAYSLIP_SETTINGS"
 _DEFAULT_PATH = "/etc/wayslip/settings.toml"
-# Offsets from the first of the ports that are free between our processes.
+# Offsets from the first port of the range for internal traffic.
 _PEERS_PORT_OFFSET = 0
 _METRICS_PORT_OFFSET = 1
 _BYTES_PER_MBIT = 125_000
 
 
 def find_path() -> pathlib.Path:
-    """Returns the path that the environment names."""
+    """Returns the settings path from the environment, or the default."""
     return pathlib.Path(os.environ.get(_PATH_VARIABLE, _DEFAULT_PATH))
 
 
 def load(path: pathlib.Path) -> options.Options:
-    """Reads the settings file; fields that are not known are passed over.
+    """Reads the settings file; unknown fields are ignored.
 
     Raises:
-        SettingsError: It can not be read, or a field is missing or wrong.
+        SettingsError: The file cannot be read, or a field is missing or
+            malformed.
     """
     try:
         values = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -62,12 +63,12 @@
 
 
 def _decode_cores(raw: dict[str, Any]) -> float:
-    """Returns an instance's processor time: a share of one, faster core."""
+    """Returns an instance's processor capacity in cores."""
     return float(raw.get("cpu_share", 1.0)) * float(raw.get("cores", 1))
 
 
 def _decode_bandwidth(raw: dict[str, Any]) -> float:
-    """Returns what an instance's link carries, bytes a second."""
+    """Returns the bandwidth of an instance's link, bytes per second."""
     mbps = float(raw.get("link_mbps") or 0)
     return mbps * _BYTES_PER_MBIT or options.Options.bytes_per_s
 
@@ -96,7 +97,11 @@
 
 
 def _decode_revocation(raw: dict[str, Any]) -> float | None:
-    """Returns the seconds after which no removed key may work anywhere."""
+    """Returns the time within which all instances must reject a removed key.
+
+    Returns:
+        Seconds, None if there is no strict limit.
+    """
     if not raw.get("revoke_strict") or "revoke_ms" not in raw:
         return None
     return float(raw["revoke_ms"]) / 1000
--- a/src/wayslip/platform/store.py
+++ b/src/wayslip/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store, over HTTP on the event loop."""
+"""Client for the platform's store, over HTTP on the event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,34 +24,38 @@
 
 _LOG = logging.getLogger(__name__)
 _PREFIX = "/wayslip/objects/"
-# The store answers in 4 ms; a hundred times that is no answer, seconds.
+# The store usually answers in 4 ms; a call without a response after 200 times
+# that has failed.
 _CALL_SECONDS = 0.8
-# An answer of which nothing comes for this long has broken off, seconds. What
-# counts is that more of it comes, not how long the whole takes: one object
-# may have 1 MB, for which a link of 5 Mbit/s takes 1.7 s. Given up by the
-# clock it would be asked for from its first byte again, for ever.
+# A response is abandoned if no bytes of it arrive for this long. The limit is
+# on progress, not on the whole response: an object may have 1 MB, which takes
+# 1.7 s over a 5 Mbit/s link. A limit on the whole would discard the bytes
+# received and request the object from its first byte again, without end.
 _STALL_SECONDS = 0.8
-# Nor may an answer trickle for ever, seconds: 1 MB over a tenth of that link.
+# Limit for a body that keeps arriving slowly: 1 MB at a tenth of that rate.
 _MAX_RESPONSE_SECONDS = 17.0
 _CONNECT_SECONDS = 0.4
-# Added to a watch's own waiting time before it is taken as lost, seconds.
+# Added to a watch's own wait before the watch counts as lost.
 _WATCH_SLACK_SECONDS = 0.5
 _MS_PER_SECOND = 1000
-# Asks for an answer that may be seconds old, at a tenth of the price.
+# Requests a read that may be seconds old, at a tenth of the cost.
 _STALE_READ_PARAMETERS = {"serializable": "1"}
 _ERA_HEADER = b"store-era"
-# Connections for writes of one kind: lost answers then hold up a quarter.
+# Connections for writes of each kind. A write whose response is lost then
+# delays a quarter of the kind's objects instead of all.
 _WRITE_CONNECTIONS = 4
 
 
 @dataclasses.dataclass(frozen=True)
 class _Response:
-    """An answer of the store.
+    """A response of the store.
 
     Attributes:
-        era: Of the store's history that it belongs to.
+        status: The HTTP status code.
+        body: The decoded JSON body.
         asked_at: Monotonic time at which the call began.
-        head_received_at: When its first bytes came.
+        head_received_at: Monotonic time at which the head was received.
+        era: The era of the store's history that it belongs to.
     """
 
     status: int
@@ -64,38 +68,40 @@
 class PlatformStore:
     """Implements `wayslip.gateway.store.Store`.
 
-    Each kind of waiting has a connection of its own, for each kind of object:
-    a large answer must not hold up the reads of others. Once an answer was
-    late, its connection is closed: the store says nothing more on it.
+    Reads, watches and writes use separate connections for each kind of object,
+    so that a large response does not delay reads of other kinds. After a late
+    response the connection is closed, because the store sends nothing more on
+    it.
     """
 
     def __init__(self, address: tuple[str, int]) -> None:
         self._address = address
         self._connections: dict[str, _StoreConnection] = {}
         self._era: int | None = None
-        # Called when the store is seen to have come back from a copy.
+        # Called when a response shows that the store was restored from a copy.
         self._restore_listeners: list[Callable[[], None]] = []
 
     @property
     def era(self) -> int:
-        """Of the store's history, as last seen; see `decisions.position`."""
+        """The last observed era of the store; see `decisions.position`."""
         return self._era or 0
 
     def on_restore(self, listener: Callable[[], None]) -> None:
-        """Has a listener called when the store came back from a copy."""
+        """Registers a callback for a restore of the store from a copy."""
         self._restore_listeners.append(listener)
 
     def _observe_era(self, head: messages.Head) -> int:
-        """Returns the era of an answer, and notes one that is new.
+        """Returns the era of a response; records and announces a new one.
 
         Raises:
-            ObjectUnavailableError: It is of an earlier era.
+            ObjectUnavailableError: The response is of an earlier era.
         """
         text = head.header(_ERA_HEADER)
         era = int(text) if text.isdigit() else self.era
         if era < self.era:
             raise errors.ObjectUnavailableError(
-                f"an answer of the store's era {era} came in era {self.era}",
+                f"received a response of the store's era {era} in era"
+                f" {self.era}",
                 "call again",
             )
         before, self._era = self._era, era
@@ -117,8 +123,8 @@
         while True:
             response = await self._read(kind, kind.name, parameters)
             _expect_status(response.status, 200)
-            # A page may be newer than the first; watching from the first
-            # one's revision repeats changes and leaves none out.
+            # Later pages may be newer than the first. A watch from the first
+            # page's revision may repeat changes but misses none.
             first = first or response
             page = [
                 _read_object(kind, raw, response.era)
@@ -142,7 +148,15 @@
     async def watch(
         self, kind: store.Kind[T], revision: int, wait: float
     ) -> store.Changes[T]:
-        """Returns what changed, nothing if nothing did for `wait` seconds."""
+        """Waits up to `wait` seconds for changes after a revision.
+
+        Returns:
+            The changes, empty if there were none.
+
+        Raises:
+            WatchExpiredError: The revision is too old or of another era.
+            ObjectUnavailableError: The store did not answer.
+        """
         self._check_watch_era(kind, revision, self.era)
         since = position.find_revision(revision)
         path = (
@@ -153,7 +167,7 @@
         response = await connection.call(
             "GET", path, None, wait + _WATCH_SLACK_SECONDS
         )
-        # The new history may have reached the same revision by now.
+        # After a restore, the store may have reached the same revision again.
         self._check_watch_era(kind, revision, response.era)
         if response.status == 410:
             raise errors.WatchExpiredError(
@@ -183,10 +197,14 @@
     def _check_watch_era(
         self, kind: store.Kind[Any], revision: int, era: int
     ) -> None:
-        """Raises WatchExpiredError if a revision is of another era."""
+        """Checks the era of a watched revision.
+
+        Raises:
+            WatchExpiredError: The revision is of another era.
+        """
         if position.find_era(revision) != era:
             raise errors.WatchExpiredError(
-                f"revision {revision} of {kind.name} is of another era",
+                f"revision {revision} of {kind.name} belongs to another era",
                 "list again",
             )
 
@@ -206,7 +224,7 @@
     async def create(
         self, kind: store.Kind[T], name: str, value: T
     ) -> store.Stored[T]:
-        """Makes an object."""
+        """Creates an object."""
         content = {"metadata": {"name": name}, "spec": kind.encode(value)}
         path = f"{_PREFIX}{kind.name}"
         response = await self._write(kind, name, "POST", path, content)
@@ -218,7 +236,7 @@
         stored: store.Stored[T],
         max_wait: float | None = None,
     ) -> store.Stored[T]:
-        """Replaces an object if it still has the revision it was read at."""
+        """Replaces an object if it still has the revision that was read."""
         self._check_write_era(stored.name, stored.revision, self.era)
         revision = position.find_revision(stored.revision)
         metadata = {"name": stored.name, "revision": revision}
@@ -228,12 +246,16 @@
         response = await self._write(
             kind, stored.name, "PUT", path, content, max_wait
         )
-        # What was written over may have been another writer's by then.
+        # In a new era the write may have replaced another writer's object.
         self._check_write_era(stored.name, stored.revision, response.era)
         return _decode(kind, response.body, response.era)
 
     def _check_write_era(self, name: str, revision: int, era: int) -> None:
-        """Raises ObjectConflictError if a condition is of another era."""
+        """Checks the era of the revision that a write depends on.
+
+        Raises:
+            ObjectConflictError: The revision is of another era.
+        """
         if position.find_era(revision) != era:
             raise errors.ObjectConflictError(
                 f"the store lost writes since {name} was read", "read it again"
@@ -242,7 +264,7 @@
     async def remove(
         self, kind: store.Kind[T], name: str, revision: int
     ) -> None:
-        """Removes an object if it still has a revision."""
+        """Removes an object if it still has the given revision."""
         self._check_write_era(name, revision, self.era)
         quoted = urllib.parse.quote(name, safe="")
         number = position.find_revision(revision)
@@ -252,14 +274,14 @@
         )
         if response.status in (404, 409):
             raise errors.ObjectConflictError(
-                f"{path} was changed by somebody else", "read it again"
+                f"{path} was changed by another writer", "read it again"
             )
         _expect_status(response.status, 200, 204)
 
     async def _read(
         self, kind: store.Kind[T], path: str, parameters: Mapping[str, str]
     ) -> _Response:
-        """Returns the answer to a read of a kind, or of one object."""
+        """Returns the response to a read of one object or of a kind."""
         query = urllib.parse.urlencode(parameters, quote_via=urllib.parse.quote)
         target = f"{_PREFIX}{path}?{query}" if query else f"{_PREFIX}{path}"
         return await self._get_connection(f"read-{kind.name}").call(
@@ -280,7 +302,7 @@
         )
         if response.status in (404, 409):
             raise errors.ObjectConflictError(
-                f"{path} was changed by somebody else", "read it again"
+                f"{path} was changed by another writer", "read it again"
             )
         _expect_status(response.status, 200, 201)
         return response
@@ -290,8 +312,8 @@
     ) -> "_StoreConnection":
         """Returns the connection for writes of an object.
 
-        A write whose answer is lost holds its connection up. So each kind has
-        some of its own, over which its objects are spread.
+        A write whose response is lost blocks its connection. Each kind
+        therefore has several, over which its objects are distributed.
         """
         number = zlib.crc32(name.encode()) % _WRITE_CONNECTIONS
         return self._get_connection(f"write-{kind.name}-{number}")
@@ -310,7 +332,7 @@
 
 
 class _StoreConnection:
-    """One connection to the store, used for one call after the other."""
+    """A connection to the store that carries one call at a time."""
 
     def __init__(
         self,
@@ -325,13 +347,17 @@
     async def call(
         self, method: str, path: str, content: Any, seconds: float
     ) -> _Response:
-        """Returns the answer to a call.
+        """Returns the response to a call.
 
         Args:
-            method: Of HTTP.
-            path: With its query.
-            content: Sent as JSON, None for none.
-            seconds: Until the answer begins.
+            method: The HTTP method.
+            path: The path with its query.
+            content: Sent as JSON; None sends no body.
+            seconds: Maximum wait for the head of the response, without the
+                time to connect.
+
+        Raises:
+            ObjectUnavailableError: The response is missing, late or malformed.
         """
         async with self._lock:
             is_done = False
@@ -352,7 +378,7 @@
                     f" ({type(e).__name__} after"
                     f" {clock.now() - started_at:.2f} s and"
                     f" {reader.received} bytes)",
-                    "wait for it; a write may have taken effect",
+                    "try again later; a write may have taken effect",
                 ) from e
             finally:
                 if not is_done:
@@ -384,7 +410,7 @@
 
     @property
     def _is_open(self) -> bool:
-        """Whether there is a connection that can take a call."""
+        """Whether the present connection can carry another call."""
         connection = self._connection
         return connection is not None and connection.is_reusable
 
@@ -410,18 +436,18 @@
 def _expect_status(status: int, *expected: int) -> None:
     if status not in expected:
         raise errors.ObjectUnavailableError(
-            f"the store answered {status}", "wait, then call again"
+            f"the store answered {status}", "try again later"
         )
 
 
 def read_json(data: bytes) -> Any:
-    """Returns the value of an answer's body.
+    """Returns the JSON value of a response body.
 
-    Other writers' objects may hold bytes that are no text. They harm the
-    object they stand in and must not harm the answer.
+    Objects of other writers may hold invalid UTF-8 or control characters.
+    These must not make the other objects of the response unreadable.
 
     Raises:
-        ValueError: It is no JSON.
+        ValueError: The body is not JSON.
     """
     return json.loads(data.decode("utf-8", "replace"), strict=False)
 
@@ -430,7 +456,7 @@
 
 
 def _read_object(kind: store.Kind[T], raw: Any, era: int) -> _ReadResult[T]:
-    """Returns an object, or why it can not be read."""
+    """Returns an object, or the reason why it cannot be read."""
     try:
         return _decode(kind, raw, era)
     except errors.ObjectError as e:
@@ -440,7 +466,7 @@
 
 
 def _identify(raw: Any) -> tuple[str, int]:
-    """Returns an object's name and revision, as far as they can be read."""
+    """Returns an object's name and revision, "" and 0 if unreadable."""
     metadata = raw.get("metadata") if isinstance(raw, Mapping) else None
     if not isinstance(metadata, Mapping):
         return "", 0
@@ -459,6 +485,7 @@
         spec = raw.get("spec")
     except (KeyError, TypeError, ValueError, AttributeError) as e:
         raise errors.ObjectError(
-            f"an object of {kind.name} is malformed ({e})", "see the store"
+            f"an object of {kind.name} is malformed ({e})",
+            "correct or remove it in the store",
         ) from e
     return store.Stored(name, revision, kind.decode(name, spec))
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The platform's words stay in the adapter, and only start-up code uses it."""
+"""The platform's names stay in the adapter; only start-up code imports it."""
 
 import pathlib
 import re
--- a/tests/platform/test_dialect.py
+++ b/tests/platform/test_dialect.py
@@ -122,7 +122,7 @@
     assert fresh(head(wayslip_request_id="r1"))
     assert not fresh(head(wayslip_request_id="r0"))
     assert fresh(head())
-    # On a kept connection it may be an answer to somebody before us.
+    # On a reused connection it may answer an earlier request.
     assert not reused(head())
 
 
--- a/tests/platform/test_foreign_entries.py
+++ b/tests/platform/test_foreign_entries.py
@@ -1,10 +1,9 @@
-"""Entries that another writer left in the platform's store.
+"""Malformed entries of other writers in the platform's store.
 
-A single entry that could not be decoded made every list and watch of its kind
-fail: decoding raised, the store was taken as lost, and the same entry came
-again with the next attempt. So one entry of a stranger took the whole list of
-engines away from every instance, and a configuration that could not be decoded
-held up the next, good one.
+These tests guard against one malformed entry that makes every list and watch
+of its kind fail. If decoding raises, the store counts as lost, and the next
+attempt reads the same entry again: all instances lose their list of engines,
+and an unreadable configuration blocks the next, valid one.
 """
 
 import asyncio
@@ -25,7 +24,7 @@
 from wayslip.platform import store
 
 _GOOD = platform_site.entry("models", "127.0.0.1:9", ["m1"])
-# A field of an entry, and something in its place that is none.
+# A field of an entry, and an invalid value for it.
 _WRONG = [
     ("service", None),
     ("service", 7),
@@ -141,7 +140,7 @@
 
 @with_client
 async def _read_mixed_entries(standin, client, entries):
-    """Reads good and bad entries by a list and by a watch."""
+    """Reads valid and malformed entries by a list and by a watch."""
     revision = (await client.list(kinds.ENDPOINTS)).revision
     for number, (entry, _) in enumerate(entries):
         standin.put("servers", f"e{number}", entry)
@@ -185,7 +184,7 @@
     await system.add("e2", "plain")
     system.store.put("servers", "bad", {"service": 3})
     address = system.store.objects["servers"]["e1"]["spec"]["address"]
-    # Whoever lists the address of an engine replaces it, if it can be used.
+    # A valid entry with the address of an engine replaces that engine.
     system.store.put(
         "servers", "odd", platform_site.entry("unheard-of", address)
     )
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -29,7 +29,8 @@
     assert options.metrics_port == 7381
     assert options.bounds.lease == 3.0
     assert options.bounds.grace == 8.0
-    # A silenced watch is found out, and read after, within the 2 s allowed.
+    # An unresponsive watch is detected, and replaced by a read, within the
+    # allowed 2 s.
     assert 0 < options.bounds.watch < options.bounds.word < 2.0
     assert options.cores == 1.0
 
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -109,7 +109,7 @@
     value = lease.Lease("g1", "127.0.0.1:1", 1)
     with pytest.raises(errors.ObjectUnavailableError):
         await client.create(records.LEASE, "x", value)
-    # The connection that lost it says nothing more; another one does.
+    # The store sends nothing more on that connection, so another one is used.
     found = await client.get(records.LEASE, "x")
     assert found.value == value
 
@@ -156,15 +156,11 @@
         await waiting
 
 
-# Instances with links of 5 Mbit/s went by an old configuration to the end of
-# the day. It had 4,249 routes and 1.05 MB, which take 1.7 s of such a link,
-# and a read had 0.8 s for its whole answer. What had come by then was thrown
-# away and asked for again, so that no read ever ended and the link was full
-# of them:
-#
-#   store_lost kind=config reason="the store did not answer GET
-#       /wayslip/objects/config?serializable=1 (TimeoutError)"   47 instances
-#   65 to 76 s: 340 to 600 KB in each second, 20 KB before
+# These tests guard against a time limit on the whole response, which a slow
+# link cannot meet. A configuration of 1.05 MB (4,249 routes) takes 1.7 s over a
+# 5 Mbit/s link. With a limit of 0.8 s, a read discarded the bytes received and
+# requested them again, so that no read completed, the instance kept its old
+# configuration, and the repeated reads filled the link.
 _ROUTES = 1400
 _NARROW_LINK_BYTES_PER_S = 150_000
 
@@ -211,7 +207,7 @@
     assert listing.items[0].value.version == 2
 
 
-# A store that comes back from a copy
+# A store that is restored from a copy
 
 
 async def back_up_then_write(standin, lost=10):
@@ -275,7 +271,7 @@
         records.LEASE, store_module.Stored("one", before.revision, mine.renew())
     )
     standin.return_to_backup()
-    # Another one gets the same revision in the new history.
+    # Another writer's object gets the same revision after the restore.
     other = lease.Lease("g2", "127.0.0.1:2", 7)
     spec = records.LEASE.encode(other)
     standin.put("wayslip-leases", "one", spec)
