--- a/src/wayslip/http1/__init__.py
+++ b/src/wayslip/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on an event loop, parsed by httptools, with failures told apart."""
+"""HTTP/1.1 on an event loop: client, connection pool and server."""
--- a/src/wayslip/http1/client.py
+++ b/src/wayslip/http1/client.py
@@ -1,7 +1,8 @@
-"""Connections to endpoints: one request at a time, surplus answers dropped.
+"""Connections to endpoints, which carry one request at a time.
 
-What went wrong is told by the kind of error: `NotSentError` while no byte of
-the request can have left, `EndpointUnclearError` afterwards.
+Responses that do not belong to the current request are discarded. The type of
+an error says whether the request may have run: `NotSentError` if no byte of it
+was sent, `EndpointUnclearError` otherwise.
 """
 
 import asyncio
@@ -15,11 +16,13 @@
 from wayslip import errors
 from wayslip.http1 import messages
 
-# Body bytes read ahead of a slow client before the endpoint is held up.
+# Body bytes buffered for a slow client before reading from the endpoint pauses.
 _READ_BUFFER_BYTES = 256 * 1024
-# See `server`; a dark endpoint is found out after this, milliseconds.
+# A connection with bytes unacknowledged for this long is closed; detects
+# endpoints that became unreachable. See also `server`.
 _TCP_USER_TIMEOUT_MS = 3_000
-# How far a length may be trusted before the answer is taken as garbage.
+# The response fails if more bytes than this are received at once and the head
+# is still incomplete.
 _MAX_HEAD_BYTES = 64 * 1024
 
 Matcher = Callable[[messages.Head], bool]
@@ -40,7 +43,7 @@
         self._is_skipping = False
         self._failure: str | None = None
         self._is_dirty = False
-        # Whether the pool has it; otherwise whoever sent on it closes it.
+        # Whether the pool holds it; if not, the request's sender closes it.
         self.is_pooled = False
         self.idle_since = 0.0
         self.idle_limit: float | None = None
@@ -50,7 +53,7 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether another request may be sent on this connection."""
         transport = self._transport
         return (
             transport is not None
@@ -66,8 +69,8 @@
 
         Args:
             data: The whole request.
-            matcher: Whether a head belongs to this request; answers to
-                earlier ones may still arrive.
+            matcher: Returns whether a head belongs to this request; responses
+                to earlier ones may still arrive.
         """
         self.is_pooled = False
         self._head = None
@@ -79,10 +82,11 @@
         self._transport.write(data)
 
     async def read_head(self) -> messages.Head:
-        """Returns the head of the answer.
+        """Returns the head of the response.
 
         Raises:
-            EndpointUnclearError: The connection broke, or sent garbage.
+            EndpointUnclearError: The connection was lost, or the response is
+                malformed.
         """
         while self._head is None:
             self._check()
@@ -90,10 +94,10 @@
         return self._head
 
     async def read(self) -> bytes:
-        """Returns the next part of the body, nothing at its end.
+        """Returns the next part of the body, empty at its end.
 
         Raises:
-            EndpointUnclearError: The body broke off, or is garbage.
+            EndpointUnclearError: The body is truncated or malformed.
         """
         while not self._chunks:
             if self._is_complete:
@@ -108,14 +112,14 @@
         return data
 
     def close(self) -> None:
-        """Closes the connection at once; an endpoint stops its work."""
+        """Closes the connection at once, which makes the endpoint stop."""
         if self._transport is not None:
             self._transport.abort()
 
     def _check(self) -> None:
         if self._failure is not None:
             raise errors.EndpointUnclearError(
-                f"the endpoint's answer can not be used: {self._failure}",
+                f"the endpoint's response cannot be used: {self._failure}",
                 "see the endpoint's log; the request may have run",
             )
 
@@ -135,10 +139,10 @@
             self._failure = reason
         self._notify()
 
-    # What asyncio calls
+    # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the connection in."""
+        """Configures the socket of the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
@@ -148,21 +152,21 @@
         )
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came."""
+        """Parses received bytes."""
         if self._is_complete:
-            # Nothing is due: whatever this is, it belongs to no request.
+            # No response is expected, so these bytes belong to no request.
             self._is_dirty = True
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._fail("it changes the protocol")
+            self._fail("it switches protocols")
         except httptools.HttpParserError as e:
             if self._is_complete:
                 self._is_dirty = True
             else:
-                self._fail(f"it is no HTTP ({e})")
+                self._fail(f"it is not valid HTTP ({e})")
         if self._head is None and len(data) > _MAX_HEAD_BYTES:
             self._fail("its head is too long")
         if (
@@ -172,7 +176,7 @@
             self._transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """Ends an answer without a length; anything else broke off."""
+        """Ends a response without a length; any other is truncated."""
         head = self._head
         if not self._is_complete and head is not None and not head.is_framed:
             self._is_complete = True
@@ -181,23 +185,23 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notes that the connection is gone."""
+        """Marks the connection as failed."""
         self._fail(f"the connection was lost ({type(exc).__name__})")
 
-    # What the parser calls
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
-        """Starts an answer."""
+        """Starts a response."""
         if self._is_complete:
             self._is_dirty = True
         self._reset_message()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Records a header."""
         self._headers.append((name.lower(), value or b""))
 
     def on_headers_complete(self) -> None:
-        """Decides whether the answer is the one that is due."""
+        """Checks whether the response belongs to the current request."""
         if self._is_complete:
             return
         status = int(self._parser.get_status_code())
@@ -213,7 +217,7 @@
         self._notify()
 
     def on_body(self, body: bytes) -> None:
-        """Takes a part of the body."""
+        """Buffers a part of the body."""
         if self._is_skipping or self._is_complete:
             return
         self._chunks.append(body)
@@ -221,7 +225,7 @@
         self._notify()
 
     def on_message_complete(self) -> None:
-        """Ends the answer."""
+        """Ends the response."""
         if self._is_skipping or self._is_complete or self._head is None:
             return
         self._is_complete = True
@@ -257,8 +261,8 @@
     """Returns a new connection.
 
     Raises:
-        NobodyListensError: The address refuses it.
-        NotSentError: None could be made in time.
+        NobodyListensError: The connection was refused.
+        NotSentError: The connection failed or timed out.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -266,12 +270,12 @@
             _, protocol = await loop.create_connection(Connection, *address)
     except ConnectionRefusedError as e:
         raise errors.NobodyListensError(
-            f"nobody listens at {address[0]}:{address[1]}",
+            f"connection refused by {address[0]}:{address[1]}",
             "check that the endpoint runs",
         ) from e
     except (OSError, TimeoutError) as e:
         raise errors.NotSentError(
-            f"{address[0]}:{address[1]} accepts no connection"
+            f"{address[0]}:{address[1]} did not accept a connection"
             f" ({type(e).__name__})",
             "check that the endpoint runs and can be reached",
         ) from e
--- a/src/wayslip/http1/messages.py
+++ b/src/wayslip/http1/messages.py
@@ -1,11 +1,11 @@
-"""Requests and answers as they stand on the wire."""
+"""HTTP requests and response heads, and their format on the wire."""
 
 import dataclasses
 import http
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
-# Headers that concern one connection only, besides those named in Connection.
+# Hop-by-hop headers, besides those that a Connection header names.
 _HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -29,8 +29,10 @@
     """A whole request.
 
     Attributes:
-        target: Path and query as they came.
+        method: Such as GET.
+        target: Path and query as received.
         headers: Names in lower case with their values, in order.
+        body: The whole body, without transfer coding.
         keep_alive: Whether the client may use the connection again.
     """
 
@@ -41,7 +43,7 @@
     keep_alive: bool
 
     def header(self, name: bytes) -> bytes:
-        """Returns a header's value, empty if it is not there."""
+        """Returns a header's first value, empty if it is missing."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -50,11 +52,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Head:
-    """Status and headers of an answer.
+    """Status and headers of a response.
 
     Attributes:
-        is_framed: Whether a length or chunks tell where the body ends.
-        length: The body's length, None if it is not told.
+        status: The status code.
+        headers: Names in lower case with their values, in order.
+        is_framed: Whether a length or chunked coding marks the body's end.
+        length: The body's length, None if unknown.
+        keep_alive: Whether the connection stays open after the response.
     """
 
     status: int
@@ -64,7 +69,7 @@
     keep_alive: bool
 
     def header(self, name: bytes) -> bytes:
-        """Returns a header's value, empty if it is not there."""
+        """Returns a header's first value, empty if it is missing."""
         for key, value in self.headers:
             if key == name:
                 return value
@@ -72,7 +77,7 @@
 
 
 def find_end_to_end(headers: Headers) -> Headers:
-    """Returns the headers that are to be passed on."""
+    """Returns the end-to-end headers, which are forwarded."""
     connection_tokens: set[bytes] = set()
     for key, value in headers:
         if key == b"connection":
@@ -87,7 +92,7 @@
 
 
 def has_body_length(request: Request) -> bool:
-    """Whether the request came with a body, even an empty one."""
+    """Returns whether the request has a body, even an empty one."""
     return any(
         k in (b"content-length", b"transfer-encoding")
         for k, _ in request.headers
@@ -100,9 +105,9 @@
     """Returns a request as bytes for an endpoint.
 
     Args:
-        request: What the client sent.
-        changes: Headers set in place of the client's.
-        removed: Headers left out.
+        request: The client's request.
+        changes: Headers that replace the client's.
+        removed: Names of headers that are not forwarded.
     """
     replaced = {k for k, _ in changes} | removed
     lines = [request.method + b" " + request.target + b" HTTP/1.1"]
@@ -118,13 +123,13 @@
 def format_head(
     status: int, headers: Headers, framing: bytes, keep_alive: bool
 ) -> bytes:
-    """Returns the head of an answer.
+    """Returns the head of a response as bytes.
 
     Args:
         status: The status code.
         headers: End-to-end headers.
-        framing: The header line that tells where the body ends, or nothing.
-        keep_alive: Whether the connection stays open after the answer.
+        framing: The header line that marks the body's end, may be empty.
+        keep_alive: Whether the connection stays open after the response.
     """
     reason = _REASONS.get(status, b"Status")
     lines = [b"HTTP/1.1 %d %s" % (status, reason)]
--- a/src/wayslip/http1/pool.py
+++ b/src/wayslip/http1/pool.py
@@ -1,4 +1,4 @@
-"""Open connections to endpoints, kept for the next request."""
+"""Pool of idle connections to endpoints."""
 
 import asyncio
 
@@ -6,11 +6,12 @@
 from wayslip import errors
 from wayslip.http1 import client
 
-# An idle connection that its endpoint gave no limit for is kept this long,
-# seconds. An endpoint that closes it sooner is seen to; one that fell silent
-# costs a request, so it is not kept for ever.
+# How long an idle connection is kept if its endpoint announced no limit. A
+# close by the endpoint is detected, but an endpoint that became unresponsive
+# costs a request, so the time is bounded.
 _IDLE_SECONDS = 12.0
-# The endpoint may close at its limit; we stop using it this much earlier.
+# The endpoint may close a connection at the limit, so reuse ends this much
+# earlier.
 _IDLE_MARGIN_SECONDS = 0.7
 _MAX_IDLE_PER_ENDPOINT = 64
 
@@ -18,8 +19,8 @@
 class Pool:
     """Idle connections by endpoint.
 
-    Keys are the endpoints' ids, not addresses: an address may pass to
-    another endpoint.
+    Keys are the endpoints' ids, not their addresses, because an address may
+    be reused by another endpoint.
     """
 
     def __init__(self, connect_seconds: float) -> None:
@@ -27,7 +28,7 @@
         self._idle: dict[str, list[client.Connection]] = {}
 
     def has_idle(self, endpoint: str) -> bool:
-        """Whether a connection is kept that probably can be used."""
+        """Returns whether an idle connection is probably usable."""
         now = clock.now()
         return any(
             c.is_reusable and _is_fresh(c, now)
@@ -35,7 +36,7 @@
         )
 
     def take(self, endpoint: str) -> client.Connection | None:
-        """Returns an idle connection that can be used."""
+        """Removes and returns a usable idle connection, None without one."""
         now = clock.now()
         idle = self._idle.get(endpoint, [])
         while idle:
@@ -49,19 +50,22 @@
         """Returns a new connection.
 
         Raises:
-            NotSentError: None could be made in time.
+            NotSentError: The connection failed or timed out.
         """
         return await client.connect(address, self._connect_seconds)
 
     def give_back(
         self, endpoint: str, connection: client.Connection, keep_alive: bytes
     ) -> None:
-        """Keeps a connection whose answer was read whole, if it can serve.
+        """Returns a connection to the pool after a whole response.
+
+        A connection that cannot be reused or exceeds the pool's limit is
+        closed.
 
         Args:
-            endpoint: Whose it is.
+            endpoint: The id of its endpoint.
             connection: The connection.
-            keep_alive: The answer's Keep-Alive header.
+            keep_alive: The response's Keep-Alive header.
         """
         idle = self._idle.setdefault(endpoint, [])
         if not connection.is_reusable or len(idle) >= _MAX_IDLE_PER_ENDPOINT:
@@ -78,14 +82,20 @@
         data: bytes,
         timeout: float,
     ) -> tuple[int, bytes]:
-        """Sends a small request and reads its whole answer.
+        """Sends a small request and reads the whole response.
+
+        Args:
+            endpoint: The endpoint's id.
+            address: The endpoint's host and port.
+            data: The whole request.
+            timeout: Limit for request and response after connecting, seconds.
 
         Returns:
             The status and the body.
 
         Raises:
             NotSentError: No connection was made.
-            EndpointUnclearError: The answer broke off or was late.
+            EndpointUnclearError: The response was truncated or late.
         """
         connection = self.take(endpoint)
         if connection is None:
--- a/src/wayslip/http1/server.py
+++ b/src/wayslip/http1/server.py
@@ -1,8 +1,8 @@
-"""Clients' connections: whole requests in, answers out, one at a time.
+"""HTTP server: one request and one response at a time per connection.
 
-A request is handed to the application once its body is there. The answer goes
-through an `Exchange`, which knows whether anything was sent and never makes an
-answer that broke off look complete.
+The application receives a request once its body is complete. It responds
+through an `Exchange`, which tracks whether anything was sent and never lets a
+truncated response look complete.
 """
 
 import asyncio
@@ -18,18 +18,19 @@
 from wayslip.http1 import messages
 
 _LOG = logging.getLogger(__name__)
-# A client that reads slowly holds at most this much of an answer here, bytes.
+# Write buffer limit for a client that reads slowly.
 _WRITE_BUFFER_BYTES = 128 * 1024
-# Linux's option 18: unacknowledged bytes end a connection after this, ms. A
-# dead client would otherwise hold its engine's work for minutes.
+# TCP_USER_TIMEOUT, option 18 on Linux: a connection with bytes unacknowledged
+# for this long is closed. An unreachable client would otherwise keep its engine
+# busy for minutes.
 _TCP_USER_TIMEOUT_MS = 5_000
 _MAX_PIPELINED_REQUESTS = 16
-# A colon, a blank and the end of the line of each header, bytes.
+# Each header's colon, space and line end.
 _HEADER_SEPARATOR_BYTES = 4
 
 
 class Exchange:
-    """One request and the answer to it."""
+    """A request and its response."""
 
     def __init__(
         self, connection: "Connection", request: messages.Request
@@ -43,7 +44,7 @@
     def answer(
         self, status: int, headers: messages.Headers, body: bytes
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a whole response."""
         framing = b"content-length: %d" % len(body)
         if status in (204, 304):
             framing = b""
@@ -59,7 +60,13 @@
     def start(
         self, status: int, headers: messages.Headers, length: int | None
     ) -> None:
-        """Sends the head of an answer whose body follows in parts."""
+        """Sends the head of a response whose body follows in parts.
+
+        Args:
+            status: The status code.
+            headers: End-to-end headers.
+            length: The body's length; None for chunked coding.
+        """
         self._is_chunked = length is None
         framing = (
             b"transfer-encoding: chunked"
@@ -77,7 +84,7 @@
         )
 
     async def send(self, data: bytes) -> None:
-        """Sends a part of the body; waits while the client reads slowly."""
+        """Sends a part of the body; waits while the write buffer is full."""
         if not data:
             return
         if self._is_chunked:
@@ -86,13 +93,13 @@
         await self._connection.drain()
 
     def finish(self) -> None:
-        """Marks the answer as complete."""
+        """Completes the response."""
         if self._is_chunked:
             self._connection.write(b"0\r\n\r\n")
         self._finish()
 
     def abort(self) -> None:
-        """Breaks the answer off so that it can not look complete."""
+        """Aborts the response so that it cannot look complete."""
         self.is_finished = True
         self._connection.abort()
 
@@ -105,7 +112,7 @@
 
 
 class Server:
-    """Listens on an address; counts and drains its connections."""
+    """A listener on one address that counts and drains its connections."""
 
     def __init__(
         self,
@@ -121,10 +128,10 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listens.
+        """Starts listening.
 
         Raises:
-            OSError: The address can not be used.
+            OSError: The address cannot be used.
         """
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -136,33 +143,33 @@
 
     @property
     def port(self) -> int:
-        """The port it listens on."""
+        """The port of the listening socket."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     @property
     def active(self) -> int:
-        """Requests that have no complete answer yet."""
+        """The number of connections with a request in progress."""
         return sum(1 for c in self.connections if c.is_busy)
 
     def stop_listening(self) -> None:
-        """Refuses new connections; open ones stay."""
+        """Stops accepting connections; open ones stay."""
         if self._server is not None:
             self._server.close()
 
     def close_idle(self) -> None:
-        """Closes connections on which nothing is under way."""
+        """Closes connections without a request in progress."""
         for connection in list(self.connections):
             connection.close_if_idle()
 
     def abort_all(self) -> None:
-        """Breaks off every connection."""
+        """Aborts all connections."""
         for connection in list(self.connections):
             connection.abort()
 
 
 class Connection(asyncio.Protocol):
-    """One client's connection."""
+    """A connection from a client."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -177,10 +184,10 @@
         self._is_closing = False
         self._reset_message()
 
-    # What asyncio calls
+    # Callbacks of asyncio
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes the connection in."""
+        """Registers the connection and configures its socket."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         transport.set_write_buffer_limits(high=_WRITE_BUFFER_BYTES)
@@ -195,7 +202,7 @@
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Ends the request that is under way: nobody waits for it."""
+        """Cancels the request in progress, whose client is gone."""
         self._server.connections.discard(self)
         self._can_write.set()
         self._set_timer(0, None)
@@ -204,19 +211,19 @@
             self._current.cancel()
 
     def eof_received(self) -> bool:
-        """Takes the client's close as leaving, also amid a request."""
+        """Treats a half-close as a disconnect, even during a request."""
         return False
 
     def pause_writing(self) -> None:
-        """Notes that the client reads slowly."""
+        """Marks the write buffer as full."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Notes that the client has caught up."""
+        """Marks the write buffer as writable again."""
         self._can_write.set()
 
     def data_received(self, data: bytes) -> None:
-        """Parses what came."""
+        """Parses received bytes."""
         if self._is_closing:
             return
         try:
@@ -226,7 +233,7 @@
         else:
             self._check_partial_head(len(data))
 
-    # What the parser calls
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
         """Starts a request."""
@@ -236,19 +243,19 @@
         )
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the target."""
+        """Records a part of the target."""
         self._target += url
         self._head_bytes += len(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Takes a header."""
+        """Records a header."""
         self._headers.append((name.lower(), value or b""))
         self._head_bytes += (
             len(name) + len(value or b"") + _HEADER_SEPARATOR_BYTES
         )
 
     def on_headers_complete(self) -> None:
-        """Checks a whole head."""
+        """Checks the complete head."""
         self._is_head_complete = True
         if self._head_bytes > self._server.limits().header_bytes:
             self._refuse(431)
@@ -259,13 +266,13 @@
                 self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Takes a part of the body."""
+        """Buffers a part of the body."""
         self._body_bytes += len(body)
         if self._body_bytes <= self._server.limits().body_bytes:
             self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Queues a whole request."""
+        """Queues a complete request."""
         if self._is_closing:
             return
         if self._body_bytes > self._server.limits().body_bytes:
@@ -284,23 +291,23 @@
             return
         self._serve_next()
 
-    # Writing, called by the exchange
+    # Methods that the exchange calls
 
     def write(self, data: bytes) -> None:
-        """Sends bytes, unless the connection is gone."""
+        """Sends bytes, unless the connection is closed."""
         if self._transport is not None and not self._transport.is_closing():
             self._transport.write(data)
 
     async def drain(self) -> None:
-        """Waits while the client reads slowly."""
+        """Waits until the write buffer has space."""
         await self._can_write.wait()
 
     def stays_open(self, request: messages.Request) -> bool:
-        """Whether the connection may be used after this request."""
+        """Returns whether the connection stays open after a request."""
         return request.keep_alive and not self._server.is_draining
 
     def finish_exchange(self, request: messages.Request) -> None:
-        """Goes on with the next request, or closes."""
+        """Closes the connection, or starts its idle timer."""
         self._exchange = None
         if not self.stays_open(request):
             self._is_closing = True
@@ -312,13 +319,13 @@
         )
 
     def abort(self) -> None:
-        """Breaks the connection off."""
+        """Aborts the connection."""
         self._is_closing = True
         if self._transport is not None:
             self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """Closes the connection if nothing is under way."""
+        """Closes the connection if no request is in progress."""
         if self.is_busy:
             return
         self._is_closing = True
@@ -327,10 +334,10 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a request has no complete answer yet."""
+        """Whether a request is in progress or queued."""
         return self._current is not None or bool(self._queue)
 
-    # Inside
+    # Private methods
 
     def _reset_message(self) -> None:
         self._target = b""
@@ -342,7 +349,7 @@
         self._is_head_complete = False
 
     def _check_partial_head(self, received: int) -> None:
-        """Refuses a head that is too long before it is there whole."""
+        """Refuses a head that exceeds the limit before it is complete."""
         if self._is_head_complete:
             return
         self._partial_head_bytes += received
@@ -350,11 +357,11 @@
             self._refuse(431)
 
     def _refuse(self, status: int) -> None:
-        """Answers what can not be read, then closes."""
+        """Responds to an unacceptable request and closes the connection."""
         if self._is_closing:
             return
         self._is_closing = True
-        # Bytes of another answer must not be mixed with this one.
+        # A response in progress must not be mixed with this one.
         if self._current is None:
             framing = b"content-length: 0"
             self.write(messages.format_head(status, (), framing, False))
@@ -374,7 +381,7 @@
         try:
             await self._server.application(exchange)
         except asyncio.CancelledError:
-            # The client left; whatever was under way was told by this.
+            # The client disconnected; the application saw the cancellation.
             self.abort()
         except Exception:
             _LOG.exception("request_failed")
--- a/src/wayslip/http1/whole.py
+++ b/src/wayslip/http1/whole.py
@@ -1,7 +1,8 @@
-"""Whole answers, read for as long as more of them comes.
+"""Reading of whole responses, limited by progress instead of total time.
 
-A limit for the whole would have to know its size and the link: what is cut by
-the clock is asked for from its first byte again, and may never come whole.
+A suitable limit on the total time would depend on the response's size and on
+the link. A response that exceeds it is requested from its first byte again and
+may never complete.
 """
 
 import asyncio
@@ -12,20 +13,21 @@
 
 
 class ResponseReader:
-    """Reads one answer.
+    """Reads one response.
 
     Attributes:
-        received: Bytes of its body so far.
-        head_received_at: Monotonic time at which its head came, 0 before.
+        received: Body bytes received so far.
+        head_received_at: Monotonic time at which the head was received, 0
+            before.
     """
 
     def __init__(self, stall_seconds: float, max_seconds: float) -> None:
-        """Initializes without anything read.
+        """Initializes the reader.
 
         Args:
-            stall_seconds: Silence in its midst that ends it, seconds.
-            max_seconds: What it may take after its head, seconds; else it could
-                trickle for ever.
+            stall_seconds: Time without new bytes that ends the reading.
+            max_seconds: Limit for the time after the head, for a body that
+                keeps arriving slowly.
         """
         self._stall_seconds = stall_seconds
         self._max_seconds = max_seconds
@@ -38,11 +40,12 @@
         """Returns the head and the whole body.
 
         Args:
-            connection: On which the request was sent.
-            max_wait: Ends the wait for the head; it is set on with every part.
+            connection: The connection on which the request was sent.
+            max_wait: The running timeout for the head; it is rescheduled after
+                the head and each part of the body.
 
         Raises:
-            EndpointUnclearError: The answer broke off, or is garbage.
+            EndpointUnclearError: The response is truncated or malformed.
         """
         head = await connection.read_head()
         self.head_received_at = clock.now()
--- a/src/wayslip/objects/__init__.py
+++ b/src/wayslip/objects/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's object API: kinds of objects, client and watch."""
+"""The platform's object API: kinds of objects, client and informer."""
--- a/src/wayslip/objects/client.py
+++ b/src/wayslip/objects/client.py
@@ -1,12 +1,12 @@
-"""Client of the object API.
+"""Client for the object API.
 
 It follows the public conventions of Kubernetes-style APIs: objects carry a
-`resourceVersion`, an update names the version it replaces and meets 409 when
-that is no longer the newest, and a watch begins after a listed version and
-meets 410 when that is too old.
+`resourceVersion`, an update names the version it replaces and fails with 409
+if that is not the newest, and a watch starts after a listed version and fails
+with 410 if that is too old.
 
-The HTTP client's own retries are off: a write whose answer was lost may have
-taken effect, and only the caller knows how to find that out.
+The HTTP client's own retries are off: a write whose response was lost may have
+taken effect, and only the caller can find out whether it did.
 """
 
 from collections.abc import Callable
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Stored(Generic[T]):
-    """Content with the version it was read at."""
+    """An object's content and the version that was read."""
 
     name: str
     version: str
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Listing(Generic[T]):
-    """Objects of a kind and the version to watch from."""
+    """The objects of a kind and the version to watch from."""
 
     items: tuple[Stored[T], ...]
     version: str
@@ -51,10 +51,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Event(Generic[T]):
-    """A change seen by a watch; `stored` is None for a bookmark.
+    """A change reported by a watch.
 
     Attributes:
-        version: The version to go on from after a break.
+        version: The version from which to resume an interrupted watch.
+        stored: The object, None for a bookmark or a malformed object.
+        is_deleted: Whether the object was deleted.
     """
 
     version: str
@@ -63,7 +65,7 @@
 
 
 class ObjectClient:
-    """Reads and conditionally writes objects. Safe for many threads."""
+    """Reads and conditionally writes objects. Thread-safe."""
 
     def __init__(
         self,
@@ -84,20 +86,20 @@
         """Returns an object.
 
         Raises:
-            ObjectMissingError: There is none of that name.
+            ObjectMissingError: There is no object of that name.
             ObjectUnavailableError: The object API did not answer.
         """
         return self._parse(kind, self._call("GET", _path(kind, name)))
 
     def find(self, kind: kinds.Kind[T], name: str) -> Stored[T] | None:
-        """Returns an object, None if there is none of that name."""
+        """Returns an object, None if there is no object of that name."""
         try:
             return self.get(kind, name)
         except errors.ObjectMissingError:
             return None
 
     def list(self, kind: kinds.Kind[T]) -> Listing[T]:
-        """Returns all objects of a kind, leaving out malformed ones."""
+        """Returns all objects of a kind except malformed ones."""
         body = self._call("GET", _path(kind))
         items = []
         for raw in body["items"]:
@@ -108,11 +110,11 @@
         return Listing(tuple(items), body["metadata"]["resourceVersion"])
 
     def watch(self, kind: kinds.Kind[T], version: str) -> Iterator[Event[T]]:
-        """Yields changes after a version until the watch's time is up.
+        """Yields the changes after a version until the watch times out.
 
         Raises:
             WatchExpiredError: The version is too old; list again.
-            ObjectUnavailableError: The watch broke off.
+            ObjectUnavailableError: The watch was interrupted.
         """
         seconds = self._options.watch_seconds
         url = (
@@ -142,7 +144,7 @@
         """Creates an object.
 
         Raises:
-            ObjectConflictError: There is one of that name.
+            ObjectConflictError: An object of that name exists.
             ObjectUnavailableError: It may have been created.
         """
         raw = _envelope(kind, name, value, None)
@@ -162,7 +164,7 @@
         return self._parse(kind, self._call("PUT", path, raw))
 
     def delete(self, kind: kinds.Kind[Any], name: str) -> None:
-        """Deletes an object; one that is gone already is no error."""
+        """Deletes an object; it is no error if the object is missing."""
         try:
             self._call("DELETE", _path(kind, name))
         except errors.ObjectMissingError:
@@ -174,19 +176,25 @@
         name: str,
         step: Callable[[T | None], T | refusals.Refusal],
     ) -> Stored[T] | refusals.Refusal:
-        """Reads, computes and conditionally writes until it is settled.
+        """Reads, computes and conditionally writes, repeated on conflicts.
 
-        The step sees the present content and returns the wanted one; it must
-        return its argument unchanged when its own earlier write is already in
-        it. That is how a write whose answer was lost is found again: a stale
-        read only leads to a conflict and a further read.
+        The step must return its argument unchanged if that already contains
+        the step's own earlier write. A write whose response was lost is
+        recognized in this way. A stale read only leads to a conflict and
+        another read.
+
+        Args:
+            kind: The kind of object.
+            name: The object's name.
+            step: Computes the new content from the present one, which is None
+                if there is no object.
 
         Returns:
-            What is stored now, or the step's refusal.
+            The stored object, or the step's refusal.
 
         Raises:
-            ObjectUnavailableError: The object API did not answer; the change
-                may or may not have been made.
+            ObjectUnavailableError: The object API did not answer, and the
+                change may or may not have been made; or too many conflicts.
         """
         for _ in range(_MAX_TRIES):
             stored = self.find(kind, name)
@@ -202,8 +210,8 @@
             except errors.ObjectConflictError:
                 self._metrics.count("object_conflicts", kind=kind.plural)
         raise errors.ObjectUnavailableError(
-            f"{kind.plural}/{name} changed {_MAX_TRIES} times under the update",
-            "try again; if it goes on, look for two writers in a loop",
+            f"{kind.plural}/{name} changed during all {_MAX_TRIES} tries",
+            "try again; if it persists, look for writers in conflict",
         )
 
     # Calls
@@ -238,7 +246,7 @@
             spec = raw["spec"]
         except (KeyError, TypeError) as e:
             raise errors.ObjectError(
-                f"a {kind.name} object lacks its envelope",
+                f"a {kind.name} object lacks its metadata or spec",
                 "restore the object or delete it",
             ) from e
         return Stored(name, version, kind.parse(spec))
@@ -290,7 +298,7 @@
     match status:
         case 404:
             raise errors.ObjectMissingError(
-                f"{operation}: there is no such object", "create it first"
+                f"{operation}: the object does not exist", "create it first"
             )
         case 409:
             raise errors.ObjectConflictError(
@@ -322,5 +330,5 @@
     kind = type(cause).__name__
     return errors.ObjectUnavailableError(
         f"{operation}: the object API did not answer ({kind})",
-        "check the platform's object API; requests go on without it",
+        "check the platform's object API; requests are served without it",
     )
--- a/src/wayslip/objects/informer.py
+++ b/src/wayslip/objects/informer.py
@@ -1,7 +1,8 @@
-"""A local copy of all objects of a kind, kept by list and watch.
+"""A local copy of all objects of a kind, updated by list and watch.
 
-The copy is soft state: it lags, and during an outage it stays as it was. Its
-age can be read. Decisions that must be right read the object itself.
+The copy lags behind the object API and is not updated during an outage; its
+age is available. Decisions that must not use stale data read the object
+itself.
 """
 
 from collections.abc import Callable
@@ -20,14 +21,14 @@
 
 _LOG = logging.getLogger(__name__)
 _RETRY_SECONDS = 0.5
-# A watch may skip events, so the whole list is read again now and then.
+# A watch may miss events, so the whole list is read again at this interval.
 _RELIST_SECONDS = 30.0
 
 Listener = Callable[[str, T | None], None]
 
 
 class Informer(Generic[T]):
-    """Lists, then watches, in a thread of its own."""
+    """Lists and watches the objects of a kind in a thread of its own."""
 
     def __init__(
         self,
@@ -35,12 +36,13 @@
         kind: kinds.Kind[T],
         is_enabled: Callable[[], bool] = lambda: True,
     ) -> None:
-        """Prepares an informer.
+        """Initializes an informer without starting it.
 
         Args:
-            client: The object API.
+            client: The client for the object API.
             kind: The kind of objects.
-            is_enabled: Whether this process watches now; asked again each time.
+            is_enabled: Returns whether this process should watch; called before
+                each list and watch.
         """
         self._client = client
         self._kind = kind
@@ -54,29 +56,29 @@
         )
 
     def subscribe(self, listener: Listener[T]) -> None:
-        """Has a function called with the name and content of each change.
+        """Registers a callback for the name and content of each change.
 
-        The content is None where the object was deleted. Subscribe before
-        `start`; calls come from the informer's thread.
+        The content is None if the object was deleted. Subscribe before
+        `start`; the informer's thread calls the callback.
         """
         self._listeners.append(listener)
 
     def start(self) -> None:
-        """Starts to list and watch."""
+        """Starts listing and watching."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends after the call that is under way."""
+        """Stops the thread after the call in progress."""
         self._stopping.set()
 
     @property
     def objects(self) -> dict[str, T]:
-        """The copy, by name; replaced whole, so it may be iterated."""
+        """The objects by name; never mutated, so safe to iterate."""
         return self._objects
 
     @property
     def age(self) -> float:
-        """Seconds since the object API was last heard."""
+        """Seconds since the last contact with the object API."""
         return clock.now() - self.synced_at
 
     def _run(self) -> None:
--- a/src/wayslip/objects/kinds.py
+++ b/src/wayslip/objects/kinds.py
@@ -1,7 +1,7 @@
 """The kinds of objects, each with its plural and the type of its content.
 
-Object content is validated when it is read: a bad object in the store is
-reported as an `ObjectError` and never reaches a decision.
+Object content is validated when it is read: a malformed object raises an
+`ObjectError` and is never used in a decision.
 """
 
 from collections.abc import Callable
@@ -27,14 +27,14 @@
 
 
 class EndpointRole(enum.StrEnum):
-    """What an endpoint is."""
+    """The type of an endpoint."""
 
     ENGINE = "engine"
     SERVICE = "service"
 
 
 class Phase(enum.StrEnum):
-    """What the platform's list says of an endpoint or instance."""
+    """The state of an endpoint or instance in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -42,10 +42,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Endpoint:
-    """An endpoint in the platform's list, which lags.
+    """An endpoint in the platform's list, which may lag.
 
     Attributes:
+        name: The endpoint's id.
+        role: Whether it runs models.
         address: "IP:PORT".
+        data_hall: The data hall that it runs in.
+        phase: Whether it is leaving.
         capacity: Bytes for weights and adapters; 0 for a service.
         checks_fence: Whether it refuses orders with an old fence.
     """
@@ -64,9 +68,9 @@
     """A kind of object.
 
     Attributes:
-        name: Its singular, as in the object's `kind`.
-        plural: Its path in the object API.
-        adapter: Validates and prints content.
+        name: The singular, as in the object's `kind` field.
+        plural: The plural, as in the path of the object API.
+        adapter: Validates and serializes content.
     """
 
     name: str
@@ -74,10 +78,10 @@
     adapter: pydantic.TypeAdapter[T]
 
     def parse(self, value: Any) -> T:
-        """Returns the content of an object.
+        """Returns the content of an object from JSON values.
 
         Raises:
-            ObjectError: The content is not of this kind.
+            ObjectError: The content is malformed for this kind.
         """
         try:
             return self.adapter.validate_python(value, strict=False)
@@ -91,7 +95,7 @@
             ) from e
 
     def dump(self, value: T) -> Any:
-        """Returns content as plain JSON values."""
+        """Returns content as JSON values."""
         return self.adapter.dump_python(value, mode="json")
 
 
--- a/tests/http1/test_server.py
+++ b/tests/http1/test_server.py
@@ -9,7 +9,7 @@
 
 
 def serve(application):
-    """Decorates a test that talks raw bytes to a server."""
+    """Decorates a test that sends raw bytes to a server."""
 
     def decorate(test):
         def wrapper():
@@ -136,7 +136,7 @@
 
 
 async def fail(exchange):
-    raise ValueError("a fault of ours")
+    raise ValueError("application error")
 
 
 @serve(fail)
--- a/tests/objects/test_kinds.py
+++ b/tests/objects/test_kinds.py
@@ -1,4 +1,4 @@
-"""Bad objects in the store are refused and counted, never decided on."""
+"""Malformed objects in the store are rejected and counted, never used."""
 
 import hypothesis
 from hypothesis import strategies as st
@@ -53,8 +53,8 @@
 @pytest.fixture
 def store():
     api = objects_standin.ObjectApi().start()
-    # None of these tests is about time; with 1 s one of them failed on a
-    # machine with three times as many busy processes as cores.
+    # These tests do not depend on the timeout. With 1 s, one of them failed on
+    # a machine with three times as many busy processes as cores.
     options = settings.Objects(
         url=f"http://{api.address}", token="t" * 16, timeout=10.0
     )
