--- a/src/wayslip/objects/kinds.py
+++ b/src/wayslip/objects/kinds.py
@@ -103,8 +103,8 @@
 
 
 def _register(name: str, plural: str, content: type[T]) -> Kind[T]:
-    config: Callable[..., Any] = pydantic.TypeAdapter
-    return KINDS.register(plural)(Kind(name, plural, config(content)))
+    make_adapter: Callable[..., Any] = pydantic.TypeAdapter
+    return KINDS.register(plural)(Kind(name, plural, make_adapter(content)))
 
 
 CONFIGURATION = _register(
--- a/src/wayslip/platform/store.py
+++ b/src/wayslip/platform/store.py
@@ -486,6 +486,6 @@
     except (KeyError, TypeError, ValueError, AttributeError) as e:
         raise errors.ObjectError(
             f"an object of {kind.name} is malformed ({e})",
-            "correct or remove it in the store",
+            "inspect it in the store",
         ) from e
     return store.Stored(name, revision, kind.decode(name, spec))
