--- a/src/wayslip/http1/__init__.py
+++ b/src/wayslip/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on an event loop: client, connection pool and server."""
+"""HTTP/1.1 client, pool and server on an event loop, parsed by httptools."""
--- a/src/wayslip/platform/settings.py
+++ b/src/wayslip/platform/settings.py
@@ -63,7 +63,7 @@
 
 
 def _decode_cores(raw: dict[str, Any]) -> float:
-    """Returns an instance's processor capacity in cores."""
+    """Returns an instance's processor capacity, as a multiple of one core."""
     return float(raw.get("cpu_share", 1.0)) * float(raw.get("cores", 1))
 
 
