--- a/src/wayslip/gateway/attempts.py
+++ b/src/wayslip/gateway/attempts.py
@@ -99,7 +99,7 @@
             return retry.Failure.UNCLEAR
         finally:
             self._view.end(active)
-            if connection is not None and not connection.is_kept:
+            if connection is not None and not connection.is_pooled:
                 connection.close()
 
     def _find_depth(self, job: jobs.Job) -> int:
@@ -194,7 +194,7 @@
     def _return_to_pool(
         self, endpoint: str, connection: client.Connection, head: messages.Head
     ) -> None:
-        connection.is_kept = True
+        connection.is_pooled = True
         self.pool.give_back(endpoint, connection, head.header(b"keep-alive"))
 
     async def _read_body(self, connection: client.Connection) -> bytes:
--- a/src/wayslip/gateway/blocked_contents.py
+++ b/src/wayslip/gateway/blocked_contents.py
@@ -46,7 +46,7 @@
         # this term.
         self._revisions: dict[bytes, int] | None = None
         # A restored store may lack objects; those are written again.
-        store.on_return(self.begin_term)
+        store.on_restore(self.begin_term)
 
     def begin_term(self) -> None:
         """Has the objects read again; another holder may have changed them."""
--- a/src/wayslip/gateway/claims.py
+++ b/src/wayslip/gateway/claims.py
@@ -46,7 +46,7 @@
         self._startup_hold_off_until = self._find_end_of_detached_orders()
         # Until then orders may arrive whose claims the store has lost.
         self._store_hold_off_until = 0.0
-        store.on_return(self._start_store_hold_off)
+        store.on_restore(self._start_store_hold_off)
 
     def note_revision(self, endpoint: str, revision: int) -> None:
         """Records a claim's revision that its holder announced."""
--- a/src/wayslip/gateway/configuration_sync.py
+++ b/src/wayslip/gateway/configuration_sync.py
@@ -77,7 +77,7 @@
         self._read_version = 0
         # Until this time a restored store may lack its last changes.
         self._may_lack_until = float("-inf")
-        store.on_return(self._note_return)
+        store.on_restore(self._note_return)
         self.distribution = distribution_module.Distribution(
             options,
             holder,
--- a/src/wayslip/gateway/copy_client.py
+++ b/src/wayslip/gateway/copy_client.py
@@ -40,7 +40,7 @@
     async def fetch(self, address: tuple[str, int], version: int) -> bytes:
         """Returns a copy; empty if none is available."""
         connection = await client.connect(address, _CONNECT_SECONDS)
-        reader = whole.WholeReader(_STALL_SECONDS, _MAX_COPY_SECONDS)
+        reader = whole.ResponseReader(_STALL_SECONDS, _MAX_COPY_SECONDS)
         request = (
             f"GET {PATH}?newer_than={version} HTTP/1.1\r\n"
             f"host: {address[0]}:{address[1]}\r\nconnection: close\r\n\r\n"
--- a/src/wayslip/gateway/store.py
+++ b/src/wayslip/gateway/store.py
@@ -107,7 +107,7 @@
     def era(self) -> int:
         """Era of the store's history, as last observed."""
 
-    def on_return(self, listener: Callable[[], None]) -> None:
+    def on_restore(self, listener: Callable[[], None]) -> None:
         """Adds a listener that is called when the store returns from a copy."""
 
     async def list(
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -21,7 +21,7 @@
 """
 
 
-def test_settings_are_read_and_unknown_fields_passed_over(tmp_path):
+def test_settings_are_read_and_unknown_fields_ignored(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(TEXT)
     options = settings.load(path)
@@ -29,7 +29,8 @@
     assert options.metrics_port == 7381
     assert options.bounds.lease == 3.0
     assert options.bounds.grace == 8.0
-    # A silenced watch is found out, and read after, within the 2 s allowed.
+    # An unresponsive watch is detected, and replaced by a read, within the
+    # allowed 2 s.
     assert 0 < options.bounds.watch < options.bounds.max_staleness < 2.0
     assert options.cores == 1.0
 
@@ -59,7 +60,7 @@
         (TEXT.replace("[7380, 7395]", "[]"), "correct that field"),
     ],
 )
-def test_bad_settings_are_one_line_with_a_remedy(tmp_path, text, word):
+def test_bad_settings_give_one_line_and_a_remedy(tmp_path, text, word):
     path = tmp_path / "settings.toml"
     path.write_text(text)
     with pytest.raises(errors.SettingsError, match=word.strip("'")) as caught:
