--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -36,48 +36,48 @@
 
 # Between the starts of two faults, seconds; they last up to 4 s, so some
 # overlap.
-_GAP_SECONDS = (0.3, 1.8)
+_FAULT_INTERVAL_SECONDS = (0.3, 1.8)
 # After the last fault, until every kind of request is served again, seconds.
-_RECOVERY_SECONDS = 15.0
-_STEP_SECONDS = 0.2
+_RECOVERY_TIMEOUT_SECONDS = 15.0
+_POLL_SECONDS = 0.2
 _KINDS = ("get", "once", "gen", "live")
 
 
-async def _play(
+async def _run_seed(
     folder: pathlib.Path, seed: int, options: dict[str, str]
 ) -> list[str]:
     """Plays one seed; returns what was broken."""
     # Connections that are open at the end are cancelled; that is no news.
-    asyncio.get_running_loop().set_exception_handler(_note_error)
+    asyncio.get_running_loop().set_exception_handler(_handle_loop_error)
     rng = random.Random(seed)
     tally = clients.Tally()
     async with world_module.run_world(
         folder, int(options["--gateways"])
     ) as world:
-        asking = [
+        client_tasks = [
             asyncio.create_task(clients.Client(world, tally, n, seed).run())
             for n in range(int(options["--clients"]))
         ]
         await _wait_until_served(world, tally, "at the start")
-        await _harm(world, rng, float(options["--seconds"]))
+        await _inject_faults(world, rng, float(options["--seconds"]))
         await _wait_until_served(world, tally, "after the faults")
-        for task in asking:
+        for task in client_tasks:
             task.cancel()
         # What is under way may still run, and must not after a promise.
         await asyncio.sleep(1.0)
         clients.check_runs(world, tally)
-        print(f"seed {seed}: asked {tally.asked}, served {tally.served}")
-        return world.ledger.violations
+        print(f"seed {seed}: asked {tally.sent}, served {tally.served}")
+        return world.oracle.violations
 
 
-def _note_error(
+def _handle_loop_error(
     loop: asyncio.AbstractEventLoop, context: dict[str, object]
 ) -> None:
     if not isinstance(context.get("exception"), asyncio.CancelledError):
         loop.default_exception_handler(context)
 
 
-async def _harm(
+async def _inject_faults(
     world: world_module.World, rng: random.Random, seconds: float
 ) -> None:
     end = time.monotonic() + seconds
@@ -89,9 +89,9 @@
         task = asyncio.ensure_future(work)
         running.add(task)
         task.add_done_callback(running.discard)
-        pause = rng.uniform(*_GAP_SECONDS)
-        for _ in range(int(pause / _STEP_SECONDS) + 1):
-            await asyncio.sleep(_STEP_SECONDS)
+        pause = rng.uniform(*_FAULT_INTERVAL_SECONDS)
+        for _ in range(int(pause / _POLL_SECONDS) + 1):
+            await asyncio.sleep(_POLL_SECONDS)
             world.check_processes()
     for task in list(running):
         await task
@@ -102,13 +102,15 @@
     world: world_module.World, tally: clients.Tally, when: str
 ) -> None:
     tally.served.clear()
-    end = time.monotonic() + _RECOVERY_SECONDS
+    end = time.monotonic() + _RECOVERY_TIMEOUT_SECONDS
     while any(kind not in tally.served for kind in _KINDS):
         if time.monotonic() > end:
             missing = [k for k in _KINDS if k not in tally.served]
-            world.ledger.break_rule(f"RECOVER {missing} not served {when}")
+            world.oracle.report_violation(
+                f"RECOVER {missing} not served {when}"
+            )
             return
-        await asyncio.sleep(_STEP_SECONDS)
+        await asyncio.sleep(_POLL_SECONDS)
         world.check_processes()
 
 
@@ -117,18 +119,20 @@
     assert __doc__ is not None
     options = docopt.docopt(__doc__)
     first = int(options["--seed"] or random.randrange(1_000_000))
-    broken = 0
+    failed_seeds = 0
     for seed in range(first, first + int(options["--seeds"])):
         with tempfile.TemporaryDirectory() as name:
             folder = pathlib.Path(name)
-            violations = asyncio.run(_play(folder, seed, options))
+            violations = asyncio.run(_run_seed(folder, seed, options))
             if violations:
-                broken += 1
-                kept = pathlib.Path(options["--keep"]) / f"soak-{seed}"
-                shutil.copytree(folder, kept, dirs_exist_ok=True)
-                print(f"seed {seed} broke {len(violations)}; logs in {kept}")
-    print(f"{options['--seeds']} seeds from {first}: {broken} broken")
-    return 1 if broken else 0
+                failed_seeds += 1
+                log_folder = pathlib.Path(options["--keep"]) / f"soak-{seed}"
+                shutil.copytree(folder, log_folder, dirs_exist_ok=True)
+                print(
+                    f"seed {seed} broke {len(violations)}; logs in {log_folder}"
+                )
+    print(f"{options['--seeds']} seeds from {first}: {failed_seeds} broken")
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -11,13 +11,13 @@
 from standins import platform_engine
 
 # Statuses that promise that the request has not run and never will.
-_PROMISES = (408, 421, 429, 503)
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
 _DEADLINE_MS = 3000
 # Requests whose ids begin so run once at most.
-_ONCE = ("once-", "live-")
+_AT_MOST_ONCE_PREFIXES = ("once-", "live-")
 # A connection carries so many requests at most before a new one is opened.
-_REQUESTS_MOST = 20
-_ANSWER_SECONDS = 8.0
+_MAX_REQUESTS_PER_CONNECTION = 20
+_ANSWER_TIMEOUT_SECONDS = 8.0
 
 
 @dataclasses.dataclass
@@ -26,16 +26,17 @@
 
     Attributes:
         served: Answered whole with success, by kind.
-        asked: All, by kind.
-        promised: Requests that may not repeat and were said not to have run.
-        seen_version: By gateway and start of its process, the newest
+        sent: All, by kind.
+        reported_not_run: Non-idempotent requests that the gateway reported as
+            not run.
+        newest_served: By gateway and start of its process, the newest
             configuration whose route it served.
     """
 
     served: dict[str, int] = dataclasses.field(default_factory=dict)
-    asked: dict[str, int] = dataclasses.field(default_factory=dict)
-    promised: set[str] = dataclasses.field(default_factory=set)
-    seen_version: dict[tuple[str, float], int] = dataclasses.field(
+    sent: dict[str, int] = dataclasses.field(default_factory=dict)
+    reported_not_run: set[str] = dataclasses.field(default_factory=set)
+    newest_served: dict[tuple[str, float], int] = dataclasses.field(
         default_factory=dict
     )
     served_at: float = 0.0
@@ -48,7 +49,7 @@
         self, world: world_module.World, tally: Tally, number: int, seed: int
     ) -> None:
         self._world = world
-        self._ledger = world.ledger
+        self._oracle = world.oracle
         self._tally = tally
         self._name = f"c{number}"
         self._rng = random.Random(f"{seed}-{number}")
@@ -59,24 +60,24 @@
         while True:
             gateway = self._rng.choice(self._world.gateways)
             try:
-                await self._use(gateway)
+                await self._use_connection(gateway)
             except (OSError, asyncio.IncompleteReadError, TimeoutError):
                 await asyncio.sleep(0.1)
 
-    async def _use(self, gateway: world_module.Gateway) -> None:
+    async def _use_connection(self, gateway: world_module.Gateway) -> None:
         host, _, port = gateway.callers.rpartition(":")
         async with asyncio.timeout(1.0):
             reader, writer = await asyncio.open_connection(host, int(port))
         client = platform_client.Client(reader, writer)
         try:
-            for _ in range(self._rng.randint(1, _REQUESTS_MOST)):
-                if not await self._ask(client, gateway):
+            for _ in range(self._rng.randint(1, _MAX_REQUESTS_PER_CONNECTION)):
+                if not await self._send_request(client, gateway):
                     return
                 await asyncio.sleep(self._rng.uniform(0, 0.1))
         finally:
             client.close()
 
-    async def _ask(
+    async def _send_request(
         self, client: platform_client.Client, gateway: world_module.Gateway
     ) -> bool:
         """Sends one request; returns whether the connection is still good."""
@@ -84,14 +85,14 @@
         kind = self._rng.choice(["get", "once", "gen", "live", "version"])
         request = f"{kind}-{self._name}-{self._sent}"
         tally = self._tally
-        tally.asked[kind] = tally.asked.get(kind, 0) + 1
+        tally.sent[kind] = tally.sent.get(kind, 0) + 1
         version = self._rng.randint(2, max(self._world.version - 1, 2))
         path = f"/v{version}/a" if kind == "version" else f"/{kind}/a"
         model = f"m{self._rng.randint(1, 3)}"
         if self._rng.random() < 0.3:
             model += f"/a{self._rng.randint(1, 4)}"
         started = gateway.started
-        async with asyncio.timeout(_ANSWER_SECONDS):
+        async with asyncio.timeout(_ANSWER_TIMEOUT_SECONDS):
             if kind in ("gen", "live"):
                 await client.send(
                     path,
@@ -116,17 +117,19 @@
     def _check(
         self, kind: str, request: str, answer: platform_client.Answer
     ) -> None:
-        if kind == "once" and answer.status in _PROMISES:
-            self._tally.promised.add(request)
+        if kind == "once" and answer.status in _NOT_RUN_STATUSES:
+            self._tally.reported_not_run.add(request)
         if not 200 <= answer.status < 300 or not answer.is_whole:
             return
         if answer.headers.get("wayslip-server-seal") != platform_engine.SEAL:
-            self._ledger.break_rule(f"MIXED {request} without a seal")
+            self._oracle.report_violation(f"MIXED {request} without a seal")
         expected = f"whole {request}".encode()
         if kind in ("gen", "live"):
             expected = endpoints.format_stream(request)
         if answer.body != expected:
-            self._ledger.break_rule(f"MIXED {request} got {answer.body!r:.80}")
+            self._oracle.report_violation(
+                f"MIXED {request} got {answer.body!r:.80}"
+            )
         served = self._tally.served
         served[kind] = served.get(kind, 0) + 1
         self._tally.served_at = time.monotonic()
@@ -141,19 +144,19 @@
         if gateway.started != started:
             return
         key = (gateway.name, started)
-        seen = self._tally.seen_version.get(key, 0)
+        newest = self._tally.newest_served.get(key, 0)
         if answer.status == 200:
-            self._tally.seen_version[key] = max(seen, version)
-        elif answer.status == 404 and version <= seen:
-            self._ledger.break_rule(
+            self._tally.newest_served[key] = max(newest, version)
+        elif answer.status == 404 and version <= newest:
+            self._oracle.report_violation(
                 f"CONFIG {gateway.name} went back before {version}"
             )
 
 
 def check_runs(world: world_module.World, tally: Tally) -> None:
     """Checks at the end what was run how often."""
-    for request, runs in world.ledger.runs.items():
-        if runs > 1 and request.startswith(_ONCE):
-            world.ledger.break_rule(f"TWICE {request} ran {runs} times")
-        if request in tally.promised:
-            world.ledger.break_rule(f"REFUSED {request} has run")
+    for request, runs in world.oracle.runs.items():
+        if runs > 1 and request.startswith(_AT_MOST_ONCE_PREFIXES):
+            world.oracle.report_violation(f"TWICE {request} ran {runs} times")
+        if request in tally.reported_not_run:
+            world.oracle.report_violation(f"REFUSED {request} has run")
--- a/soak/endpoints.py
+++ b/soak/endpoints.py
@@ -12,15 +12,15 @@
 
 LEASE_SECONDS = 1.0
 # A body that begins so ends the endpoint that begins to run it.
-DEADLY = b"deadly"
+POISON = b"deadly"
 # The pool's memory and places for adapters, as the manifest says.
 _POOL = platform_site.manifest()["services"][1]["engine"]
-_EVENTS = 12
-_EVENT_SECONDS = 0.03
+_EVENT_COUNT = 12
+_EVENT_INTERVAL_SECONDS = 0.03
 
 
 @dataclasses.dataclass
-class Ledger:
+class Oracle:
     """What endpoints saw, and what was broken.
 
     Attributes:
@@ -31,7 +31,7 @@
     runs: dict[str, int] = dataclasses.field(default_factory=dict)
     violations: list[str] = dataclasses.field(default_factory=list)
 
-    def break_rule(self, text: str) -> None:
+    def report_violation(self, text: str) -> None:
         """Notes a violation."""
         self.violations.append(text)
         print(f"VIOLATION {text}", flush=True)
@@ -40,68 +40,78 @@
 class Endpoint(platform_engine.PlatformEngine):
     """A stand-in that checks what it is asked and ordered."""
 
-    def watch(
+    def attach_oracle(
         self,
-        ledger: Ledger,
+        oracle: Oracle,
         service: str,
-        end: Callable[["Endpoint", bytes], None],
+        on_crash: Callable[["Endpoint", bytes], None],
     ) -> None:
         """Has it note what it sees in a ledger.
 
         Args:
-            ledger: Where it notes that.
+            oracle: Where it notes that.
             service: That it belongs to.
-            end: Ends it, when it begins a request with a body that does so.
+            on_crash: Called with the endpoint and the body of the request
+                that crashes it.
         """
-        self.ledger = ledger
+        self.oracle = oracle
         self.service = service
-        self.end = end
-        self.says_leaving = False
+        self.on_crash = on_crash
+        self.announces_leaving = False
         # Until when it turns requests away and asks for rest.
-        self.rests_until = 0.0
-        self.came_at_rest = 0
-        self.left_at: float | None = None
+        self.backs_off_until = 0.0
+        self.received_in_backoff = 0
+        self.draining_since: float | None = None
         self.last_order = (0.0, "", 0)
         self.script = _run_stream if service == "models" else _run_plain
 
     async def _respond(
-        self, request: platform_engine.Received, line: platform_engine.Line
+        self,
+        request: platform_engine.ReceivedRequest,
+        connection: platform_engine.Connection,
     ) -> None:
-        wanted = request.headers.get("wayslip-target-instance", self.name)
-        if wanted != self.name:
+        target = request.headers.get("wayslip-target-instance", self.name)
+        if target != self.name:
             body = b"another engine"
-            await line.answer(request, body, 421, Wayslip_Server_Seal="")
+            await connection.answer(request, body, 421, Wayslip_Server_Seal="")
             return
-        left = self.rests_until - time.monotonic()
+        left = self.backs_off_until - time.monotonic()
         if left > 0 and request.id:
-            self.came_at_rest += 1
-            rest = {"Retry-After": f"{left:.3f}", "Wayslip-Not-Executed": "1"}
-            await line.answer(request, b"", 503, **rest)
+            self.received_in_backoff += 1
+            backoff = {
+                "Retry-After": f"{left:.3f}",
+                "Wayslip-Not-Executed": "1",
+            }
+            await connection.answer(request, b"", 503, **backoff)
             return
-        await super()._respond(request, line)
+        await super()._respond(request, connection)
 
     async def _take_order(
-        self, request: platform_engine.Received, line: platform_engine.Line
+        self,
+        request: platform_engine.ReceivedRequest,
+        connection: platform_engine.Connection,
     ) -> None:
         at, holder, token = self.last_order
         now = time.monotonic()
         order = _decode(request.body)
         if order["holder"] != holder and holder:
             if now - at < LEASE_SECONDS:
-                self.ledger.break_rule(f"ONE two holders at {self.name}")
+                self.oracle.report_violation(f"ONE two holders at {self.name}")
             if order["fencing_token"] <= token:
-                self.ledger.break_rule(f"ONE token fell at {self.name}")
+                self.oracle.report_violation(f"ONE token fell at {self.name}")
         self.last_order = (now, order["holder"], order["fencing_token"])
-        await super()._take_order(request, line)
+        await super()._take_order(request, connection)
         models = platform_site.MODEL_SPEC
         adapters = sum(len(a) for a in self.models.values())
         used = len(self.models) * float(str(models["weights_mb"])) + adapters
         if used > _POOL["weights_mb"] or adapters > _POOL["adapter_slots"]:
-            self.ledger.break_rule(f"LIMIT {self.name} holds {self.models}")
+            self.oracle.report_violation(
+                f"LIMIT {self.name} holds {self.models}"
+            )
 
-    def note_run(self, request: platform_engine.Received) -> None:
+    def record_run(self, request: platform_engine.ReceivedRequest) -> None:
         """Counts a run of a request."""
-        runs = self.ledger.runs
+        runs = self.oracle.runs
         runs[request.id] = runs.get(request.id, 0) + 1
 
 
@@ -112,30 +122,32 @@
 
 async def _run_plain(
     engine: platform_engine.PlatformEngine,
-    request: platform_engine.Received,
-    line: platform_engine.Line,
+    request: platform_engine.ReceivedRequest,
+    connection: platform_engine.Connection,
 ) -> None:
     assert isinstance(engine, Endpoint)
-    engine.note_run(request)
+    engine.record_run(request)
     await asyncio.sleep(0.01)
-    if request.body.startswith(DEADLY):
-        engine.end(engine, request.body)
+    if request.body.startswith(POISON):
+        engine.on_crash(engine, request.body)
         return
-    leaving = {"Server-Leaving": "1"} if engine.says_leaving else {}
-    await line.answer(request, f"whole {request.id}".encode(), 200, **leaving)
+    leaving = {"Server-Leaving": "1"} if engine.announces_leaving else {}
+    await connection.answer(
+        request, f"whole {request.id}".encode(), 200, **leaving
+    )
 
 
 async def _run_stream(
     engine: platform_engine.PlatformEngine,
-    request: platform_engine.Received,
-    line: platform_engine.Line,
+    request: platform_engine.ReceivedRequest,
+    connection: platform_engine.Connection,
 ) -> None:
     assert isinstance(engine, Endpoint)
     model = request.headers.get("wayslip-model", "").partition("/")[0]
     if model not in engine.models:
-        await line.answer(request, b"", 421, Wayslip_Server_Seal="")
+        await connection.answer(request, b"", 421, Wayslip_Server_Seal="")
         return
-    engine.note_run(request)
+    engine.record_run(request)
     after = int(request.headers.get("last-event-id", 0))
     head = platform_engine.format_answer(
         request.id,
@@ -144,19 +156,19 @@
         Content_Length="",
         Transfer_Encoding="chunked",
         Content_Type="text/event-stream",
-        **line.headers,
+        **connection.headers,
     )
-    await line.write(head)
-    for number in range(after + 1, _EVENTS + 1):
-        await asyncio.sleep(_EVENT_SECONDS)
+    await connection.write(head)
+    for number in range(after + 1, _EVENT_COUNT + 1):
+        await asyncio.sleep(_EVENT_INTERVAL_SECONDS)
         event = f"id: {number}\ndata: {request.id}\n\n".encode()
-        await line.write(b"%x\r\n%s\r\n" % (len(event), event))
-    await line.write(b"0\r\n\r\n")
+        await connection.write(b"%x\r\n%s\r\n" % (len(event), event))
+    await connection.write(b"0\r\n\r\n")
 
 
 def format_stream(request_id: str) -> bytes:
     """Returns all events of a whole stream."""
     return b"".join(
         f"id: {n}\ndata: {request_id}\n\n".encode()
-        for n in range(1, _EVENTS + 1)
+        for n in range(1, _EVENT_COUNT + 1)
     )
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -14,7 +14,7 @@
 
 Fault = Callable[[world_module.World, random.Random], Awaitable[None]]
 FAULTS: dict[str, Fault] = {}
-_NAMED = list(proxy.Harm)[1:]
+_LINK_FAULTS = list(proxy.LinkFault)[1:]
 
 
 def register(fault: Fault) -> Fault:
@@ -23,7 +23,7 @@
     return fault
 
 
-def _pick(
+def _pick_gateway(
     world: world_module.World, rng: random.Random
 ) -> world_module.Gateway:
     return rng.choice(world.gateways)
@@ -32,7 +32,7 @@
 @register
 async def kill(world: world_module.World, rng: random.Random) -> None:
     """A gateway is killed and started again."""
-    gateway = _pick(world, rng)
+    gateway = _pick_gateway(world, rng)
     if gateway.is_up:
         gateway.send(signal.SIGKILL)
     await asyncio.sleep(0.3)
@@ -50,7 +50,7 @@
 @register
 async def terminate(world: world_module.World, rng: random.Random) -> None:
     """A gateway is asked to stop, in time or with another signal on top."""
-    gateway = _pick(world, rng)
+    gateway = _pick_gateway(world, rng)
     if not gateway.is_up or gateway.is_stopping or gateway.is_paused:
         return
     process = gateway.process
@@ -66,14 +66,14 @@
         await asyncio.sleep(0.1)
         waited += 0.1
     if process.poll() is None and not gateway.is_paused:
-        world.ledger.break_rule(f"LOST {gateway.name} does not stop")
+        world.oracle.report_violation(f"LOST {gateway.name} does not stop")
         process.kill()
 
 
 @register
 async def pause(world: world_module.World, rng: random.Random) -> None:
     """A gateway stands still for a while."""
-    gateway = _pick(world, rng)
+    gateway = _pick_gateway(world, rng)
     if not gateway.is_up or gateway.is_paused:
         return
     gateway.is_paused = True
@@ -88,7 +88,7 @@
 @register
 async def reload(world: world_module.World, rng: random.Random) -> None:
     """A gateway is told that its settings changed, some times."""
-    gateway = _pick(world, rng)
+    gateway = _pick_gateway(world, rng)
     for _ in range(rng.randint(1, 4)):
         if gateway.is_up:
             gateway.send(signal.SIGHUP)
@@ -98,21 +98,21 @@
 @register
 async def harm_store(world: world_module.World, rng: random.Random) -> None:
     """The way from one gateway to the store is harmed."""
-    await _harm(_pick(world, rng).store_proxy, rng)
+    await _disrupt_link(_pick_gateway(world, rng).store_proxy, rng)
 
 
 @register
 async def harm_endpoint(world: world_module.World, rng: random.Random) -> None:
     """The ways to one endpoint are harmed."""
     name = rng.choice(sorted(world.endpoints))
-    await _harm(world.proxies[name], rng)
+    await _disrupt_link(world.proxies[name], rng)
 
 
-async def _harm(target: proxy.Proxy, rng: random.Random) -> None:
+async def _disrupt_link(target: proxy.Proxy, rng: random.Random) -> None:
     target.delay = rng.uniform(0.05, 0.5)
-    target.set_harm(rng.choice(_NAMED))
+    target.set_fault(rng.choice(_LINK_FAULTS))
     await asyncio.sleep(rng.uniform(0.3, 4.0))
-    target.set_harm(proxy.Harm.NONE)
+    target.set_fault(proxy.LinkFault.NONE)
 
 
 @register
@@ -182,12 +182,12 @@
 async def crash_endpoint(world: world_module.World, rng: random.Random) -> None:
     """An endpoint crashes; another one starts, perhaps at its address."""
     endpoint = rng.choice(list(world.endpoints.values()))
-    if endpoint.left_at is not None:
+    if endpoint.draining_since is not None:
         return
     if rng.random() < 0.5:
-        await world.succeed_endpoint(endpoint)
+        await world.crash_and_reuse_address(endpoint)
         return
-    await world.end_endpoint(endpoint, lists_out=rng.random() < 0.3)
+    await world.end_endpoint(endpoint, removes_entry_at_once=rng.random() < 0.3)
     await world.add_endpoint(endpoint.service)
 
 
@@ -197,7 +197,7 @@
 ) -> None:
     """An endpoint drains and leaves; another one was started before."""
     endpoint = rng.choice(list(world.endpoints.values()))
-    if endpoint.left_at is not None:
+    if endpoint.draining_since is not None:
         return
     await world.add_endpoint(endpoint.service)
     await world.drain_endpoint(endpoint, rng.uniform(1.0, 4.0))
@@ -205,13 +205,13 @@
 
 # Ends under one request where nothing else happens; a gateway that starts
 # meanwhile may have lost what it knew.
-_ENDS_MOST = 3
-_DEADLY_TRIES = 8
-_REST_SECONDS = 2.0
+_MAX_CRASHES = 3
+_POISON_REQUESTS = 8
+_BACKOFF_SECONDS = 2.0
 # What was under way when the rest was asked for still comes, seconds.
-_UNDER_WAY_SECONDS = 0.5
+_IN_FLIGHT_SECONDS = 0.5
 # Of each gateway, in a time of rest.
-_REQUESTS_AT_REST = 2
+_REQUESTS_PER_BACKOFF = 2
 
 
 @register
@@ -219,19 +219,21 @@
     world: world_module.World, rng: random.Random
 ) -> None:
     """A request that ends endpoints comes again and again, at any gateway."""
-    body = endpoints.DEADLY + b"%d" % rng.randrange(1_000_000)
-    starts = world.starts
-    for number in range(_DEADLY_TRIES):
-        await _ask_once(_pick(world, rng), f"{body.decode()}-{number}", body)
+    body = endpoints.POISON + b"%d" % rng.randrange(1_000_000)
+    gateway_starts = world.gateway_starts
+    for number in range(_POISON_REQUESTS):
+        await _send_once(
+            _pick_gateway(world, rng), f"{body.decode()}-{number}", body
+        )
         await asyncio.sleep(0.2)
-    most = _ENDS_MOST + world.starts - starts
-    if world.ends[body] > most:
-        world.ledger.break_rule(
-            f"BUDGET {world.ends[body]} endpoints ended under {body!r}"
+    allowed = _MAX_CRASHES + world.gateway_starts - gateway_starts
+    if world.poison_crashes[body] > allowed:
+        world.oracle.report_violation(
+            f"BUDGET {world.poison_crashes[body]} endpoints crashed on {body!r}"
         )
 
 
-async def _ask_once(
+async def _send_once(
     gateway: world_module.Gateway, request: str, body: bytes
 ) -> None:
     host, _, port = gateway.callers.rpartition(":")
@@ -253,24 +255,30 @@
 async def ask_for_rest(world: world_module.World, rng: random.Random) -> None:
     """An endpoint turns requests away and asks for rest."""
     endpoint = rng.choice(list(world.endpoints.values()))
-    starts = world.starts
-    endpoint.rests_until = time.monotonic() + _REST_SECONDS
-    await asyncio.sleep(_UNDER_WAY_SECONDS)
-    before = endpoint.came_at_rest
-    await asyncio.sleep(_REST_SECONDS - _UNDER_WAY_SECONDS)
-    came = endpoint.came_at_rest - before
+    gateway_starts = world.gateway_starts
+    endpoint.backs_off_until = time.monotonic() + _BACKOFF_SECONDS
+    await asyncio.sleep(_IN_FLIGHT_SECONDS)
+    before = endpoint.received_in_backoff
+    await asyncio.sleep(_BACKOFF_SECONDS - _IN_FLIGHT_SECONDS)
+    received = endpoint.received_in_backoff - before
     # A gateway learns of it from the first request that is turned away.
-    most = len(world.gateways) * (_REQUESTS_AT_REST + 1)
-    if came > most + (world.starts - starts) * _REQUESTS_AT_REST:
-        world.ledger.break_rule(f"BUDGET {endpoint.name} got {came} at rest")
+    allowed = len(world.gateways) * (_REQUESTS_PER_BACKOFF + 1)
+    if (
+        received
+        > allowed
+        + (world.gateway_starts - gateway_starts) * _REQUESTS_PER_BACKOFF
+    ):
+        world.oracle.report_violation(
+            f"BUDGET {endpoint.name} got {received} at rest"
+        )
 
 
 # Of the platform's rule on limits, seconds.
-_LIMIT_CONTACT = 3.0
-_LIMIT_WINDOW = 4.0
-_LIMIT_SECONDS = 7.0
+_LIMIT_ANNOUNCE_SECONDS = 3.0
+_LIMIT_WINDOW_SECONDS = 4.0
+_LIMIT_CHECK_SECONDS = 7.0
 # Sent by a gateway that has started anew before it hears of a limit.
-_REQUESTS_UNTOLD = 6
+_REQUESTS_BEFORE_LIMIT_KNOWN = 6
 
 
 @register
@@ -281,18 +289,22 @@
         return
     limit = rng.choice([0.3, 1.0, 1.1, 3.0])
     endpoint.limit = limit
-    await asyncio.sleep(_LIMIT_CONTACT)
-    starts, began = world.starts, time.monotonic()
-    await asyncio.sleep(_LIMIT_SECONDS)
+    await asyncio.sleep(_LIMIT_ANNOUNCE_SECONDS)
+    gateway_starts, began = world.gateway_starts, time.monotonic()
+    await asyncio.sleep(_LIMIT_CHECK_SECONDS)
     endpoint.limit = None
     calls = [at for at in endpoint.calls if at >= began]
-    most = 1.5 * _LIMIT_WINDOW * limit + 5
-    most += (world.starts - starts) * _REQUESTS_UNTOLD
+    allowed = 1.5 * _LIMIT_WINDOW_SECONDS * limit + 5
+    allowed += (
+        world.gateway_starts - gateway_starts
+    ) * _REQUESTS_BEFORE_LIMIT_KNOWN
     for first in calls:
-        came = sum(first <= at < first + _LIMIT_WINDOW for at in calls)
-        if came > most:
-            world.ledger.break_rule(
-                f"LIMIT {endpoint.name} got {came} calls at a limit of {limit}"
+        received = sum(
+            first <= at < first + _LIMIT_WINDOW_SECONDS for at in calls
+        )
+        if received > allowed:
+            world.oracle.report_violation(
+                f"LIMIT {endpoint.name} got {received} calls with limit {limit}"
             )
             return
 
@@ -303,9 +315,9 @@
 ) -> None:
     """An endpoint says in its answers alone that it leaves, then ends."""
     endpoint = rng.choice(list(world.endpoints.values()))
-    if endpoint.left_at is not None:
+    if endpoint.draining_since is not None:
         return
-    endpoint.says_leaving = True
+    endpoint.announces_leaving = True
     await world.add_endpoint(endpoint.service)
     await asyncio.sleep(rng.uniform(1.0, 4.0))
-    await world.end_endpoint(endpoint, lists_out=True)
+    await world.end_endpoint(endpoint, removes_entry_at_once=True)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -4,10 +4,10 @@
 import contextlib
 import enum
 
-_PIECE = 65536
+_CHUNK_BYTES = 65536
 
 
-class Harm(enum.Enum):
+class LinkFault(enum.Enum):
     """What happens to bytes and connections.
 
     Attributes:
@@ -22,9 +22,9 @@
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
-    SILENT = "silent"
-    DEAF = "deaf"
-    MUTE = "mute"
+    STALL = "silent"
+    STALL_TO_SERVER = "deaf"
+    STALL_FROM_SERVER = "mute"
 
 
 class Proxy:
@@ -35,9 +35,9 @@
         self._target = (host, int(port))
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._passes = asyncio.Event()
-        self._passes.set()
-        self.harm = Harm.NONE
+        self._not_stalled = asyncio.Event()
+        self._not_stalled.set()
+        self.fault = LinkFault.NONE
         self.delay = 0.2
 
     async def start(self) -> str:
@@ -45,16 +45,20 @@
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
-    def set_harm(self, harm: Harm) -> None:
+    def set_fault(self, fault: LinkFault) -> None:
         """Changes what happens to connections, open ones too."""
-        self.harm = harm
-        if harm is Harm.RESET:
+        self.fault = fault
+        if fault is LinkFault.RESET:
             for writer in list(self._writers):
                 writer.transport.abort()
-        if harm in (Harm.SILENT, Harm.DEAF, Harm.MUTE):
-            self._passes.clear()
+        if fault in (
+            LinkFault.STALL,
+            LinkFault.STALL_TO_SERVER,
+            LinkFault.STALL_FROM_SERVER,
+        ):
+            self._not_stalled.clear()
         else:
-            self._passes.set()
+            self._not_stalled.set()
 
     def retarget(self, target: str) -> None:
         """Passes connections on to another address; open ones are reset."""
@@ -73,34 +77,40 @@
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self.harm is Harm.RESET:
+        if self.fault is LinkFault.RESET:
             writer.transport.abort()
             return
         try:
-            far_reader, far = await asyncio.open_connection(*self._target)
+            upstream_reader, upstream = await asyncio.open_connection(
+                *self._target
+            )
         except OSError:
             writer.transport.abort()
             return
-        self._writers |= {writer, far}
-        ways = [
-            asyncio.create_task(self._pump(reader, far, Harm.DEAF)),
-            asyncio.create_task(self._pump(far_reader, writer, Harm.MUTE)),
+        self._writers |= {writer, upstream}
+        pumps = [
+            asyncio.create_task(
+                self._pump(reader, upstream, LinkFault.STALL_TO_SERVER)
+            ),
+            asyncio.create_task(
+                self._pump(upstream_reader, writer, LinkFault.STALL_FROM_SERVER)
+            ),
         ]
-        await asyncio.gather(*ways)
-        self._writers -= {writer, far}
+        await asyncio.gather(*pumps)
+        self._writers -= {writer, upstream}
 
     async def _pump(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        blocked_by: Harm,
+        stalled_by: LinkFault,
     ) -> None:
         try:
-            while data := await reader.read(_PIECE):
-                if self.harm is Harm.DELAY:
+            while data := await reader.read(_CHUNK_BYTES):
+                if self.fault is LinkFault.DELAY:
                     await asyncio.sleep(self.delay)
-                while self.harm in (Harm.SILENT, blocked_by):
-                    await self._passes.wait()
+                while self.fault in (LinkFault.STALL, stalled_by):
+                    await self._not_stalled.wait()
                 writer.write(data)
                 await writer.drain()
             writer.write_eof()
@@ -109,4 +119,8 @@
         finally:
             with contextlib.suppress(OSError, RuntimeError):
                 if reader.at_eof() and not writer.is_closing():
-                    writer.close() if blocked_by is Harm.MUTE else None
+                    (
+                        writer.close()
+                        if stalled_by is LinkFault.STALL_FROM_SERVER
+                        else None
+                    )
--- a/soak/world.py
+++ b/soak/world.py
@@ -26,7 +26,7 @@
 _HEARTBEAT_SECONDS = 0.3
 # Second number of the gateways' loopback addresses; the third one tells soaks
 # that run at the same time apart.
-_NET = 77
+_NET_OCTET = 77
 
 
 @dataclasses.dataclass
@@ -71,18 +71,18 @@
 
     def __init__(self, folder: pathlib.Path, gateways: int) -> None:
         self.folder = folder
-        self.ledger = endpoints.Ledger()
+        self.oracle = endpoints.Oracle()
         self.store = platform_store.PlatformStore()
         self.version = 1
         # Endpoints that ended under a request, by its body; gateways that were
         # started.
-        self.ends: collections.Counter[bytes] = collections.Counter()
-        self.starts = 0
+        self.poison_crashes: collections.Counter[bytes] = collections.Counter()
+        self.gateway_starts = 0
         self.endpoints: dict[str, endpoints.Endpoint] = {}
         self.proxies: dict[str, proxy_module.Proxy] = {}
         self.gateways: list[Gateway] = []
-        self._count = gateways
-        self._numbers = 0
+        self._gateway_count = gateways
+        self._endpoint_count = 0
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
@@ -92,11 +92,11 @@
         for service, count in (("plain", 3), ("models", 3)):
             for _ in range(count):
                 await self.add_endpoint(service)
-        for number in range(self._count):
+        for number in range(self._gateway_count):
             await self._add_gateway(f"g{number}", address)
         for gateway in self.gateways:
             gateway.start()
-        self._tasks.append(asyncio.create_task(self._beat()))
+        self._tasks.append(asyncio.create_task(self._sync_entries()))
 
     async def stop(self) -> None:
         """Ends every process that was started, and all sockets."""
@@ -131,76 +131,80 @@
 
     async def add_endpoint(self, service: str) -> endpoints.Endpoint:
         """Starts an endpoint at an address of its own."""
-        endpoint, own = await self._start_endpoint(service)
-        proxy = proxy_module.Proxy(own)
+        endpoint, own_address = await self._start_endpoint(service)
+        proxy = proxy_module.Proxy(own_address)
         self.proxies[endpoint.name] = proxy
-        self._list(endpoint, await proxy.start())
+        self._put_entry(endpoint, await proxy.start())
         return endpoint
 
-    async def succeed_endpoint(self, before: endpoints.Endpoint) -> None:
+    async def crash_and_reuse_address(
+        self, crashed: endpoints.Endpoint
+    ) -> None:
         """Has an endpoint crash and another one start at its address.
 
         The entry of the first one stays for a while, as without heartbeats.
         """
-        item = self.store.objects["servers"].get(before.name)
-        if item is None or before.name not in self.endpoints:
+        item = self.store.objects["servers"].get(crashed.name)
+        if item is None or crashed.name not in self.endpoints:
             return
-        endpoint, own = await self._start_endpoint(before.service)
-        if before.name not in self.endpoints:
+        endpoint, own_address = await self._start_endpoint(crashed.service)
+        if crashed.name not in self.endpoints:
             # It ended while the other one started, which stays unlisted.
             return
-        proxy = self.proxies.pop(before.name)
+        proxy = self.proxies.pop(crashed.name)
         address = item["spec"]["address"]
-        before.stop()
-        del self.endpoints[before.name]
-        proxy.retarget(own)
+        crashed.stop()
+        del self.endpoints[crashed.name]
+        proxy.retarget(own_address)
         self.proxies[endpoint.name] = proxy
-        self._list(endpoint, address)
+        self._put_entry(endpoint, address)
         await asyncio.sleep(1.0)
-        if before.name in self.store.objects["servers"]:
-            self.store.remove("servers", before.name)
+        if crashed.name in self.store.objects["servers"]:
+            self.store.remove("servers", crashed.name)
 
-    def _replace(self, endpoint: endpoints.Endpoint, body: bytes) -> None:
+    def _replace_crashed(
+        self, endpoint: endpoints.Endpoint, body: bytes
+    ) -> None:
         """Ends an endpoint under a request, and has another one start."""
         if endpoint.name not in self.endpoints:
             return
-        self.ends[body] += 1
-        self._tasks.append(asyncio.create_task(self._end_and_add(endpoint)))
+        self.poison_crashes[body] += 1
+        self._tasks.append(asyncio.create_task(self._end_and_replace(endpoint)))
 
-    async def _end_and_add(self, endpoint: endpoints.Endpoint) -> None:
-        await self.end_endpoint(endpoint, lists_out=False)
+    async def _end_and_replace(self, endpoint: endpoints.Endpoint) -> None:
+        await self.end_endpoint(endpoint, removes_entry_at_once=False)
         await self.add_endpoint(endpoint.service)
 
     async def _start_endpoint(
         self, service: str
     ) -> tuple[endpoints.Endpoint, str]:
-        self._numbers += 1
-        endpoint = endpoints.Endpoint(f"e{self._numbers}")
-        endpoint.watch(self.ledger, service, self._replace)
+        self._endpoint_count += 1
+        endpoint = endpoints.Endpoint(f"e{self._endpoint_count}")
+        endpoint.attach_oracle(self.oracle, service, self._replace_crashed)
         endpoint.report_lag = 0.1
         if service == "models":
-            endpoint.models = {f"m{1 + self._numbers % 3}": []}
-        own = await endpoint.start()
+            endpoint.models = {f"m{1 + self._endpoint_count % 3}": []}
+        own_address = await endpoint.start()
         self.endpoints[endpoint.name] = endpoint
-        return endpoint, own
+        return endpoint, own_address
 
-    def _list(self, endpoint: endpoints.Endpoint, address: str) -> None:
+    def _put_entry(self, endpoint: endpoints.Endpoint, address: str) -> None:
         entry = platform_site.entry(
             endpoint.service, address, endpoint.models, seq=0
         )
         self.store.put("servers", endpoint.name, entry)
 
     async def end_endpoint(
-        self, endpoint: endpoints.Endpoint, lists_out: bool
+        self, endpoint: endpoints.Endpoint, removes_entry_at_once: bool
     ) -> None:
         """Ends an endpoint at once; its entry may stay for a while."""
         if endpoint.name not in self.endpoints:
             return
-        self.proxies[endpoint.name].set_harm(proxy_module.Harm.RESET)
+        self.proxies[endpoint.name].set_fault(proxy_module.LinkFault.RESET)
         self.proxies[endpoint.name].close()
         endpoint.stop()
         del self.endpoints[endpoint.name]
-        if not lists_out:
+        if not removes_entry_at_once:
             await asyncio.sleep(1.0)
         if endpoint.name in self.store.objects["servers"]:
             self.store.remove("servers", endpoint.name)
@@ -215,11 +219,11 @@
         spec = self.store.objects["servers"][endpoint.name]["spec"]
         spec = {**spec, "state": "draining"}
         self.store.put("servers", endpoint.name, spec)
-        endpoint.left_at = time.monotonic()
+        endpoint.draining_since = time.monotonic()
         await asyncio.sleep(seconds)
         await self.end_endpoint(endpoint, True)
 
-    async def _beat(self) -> None:
+    async def _sync_entries(self) -> None:
         """Lets entries follow what endpoints hold, as heartbeats do."""
         while True:
             await asyncio.sleep(_HEARTBEAT_SECONDS)
@@ -242,7 +246,7 @@
         address = await proxy.start()
         # An address of its own, so that no connection takes its ports while
         # the process is away.
-        ip = f"127.{_NET}.{os.getpid() % 250}.{len(self.gateways) + 1}"
+        ip = f"127.{_NET_OCTET}.{os.getpid() % 250}.{len(self.gateways) + 1}"
         callers, ready, port = f"{ip}:8149", f"{ip}:8141", 7380
         settings = self.folder / f"{name}.toml"
         settings.write_text(
@@ -270,8 +274,8 @@
                 # A process that is still loading has nothing to finish.
                 expected |= {0, -signal.SIGTERM}
             if code not in expected:
-                self.ledger.break_rule(f"EXIT {gateway.name} code {code}")
-            self.starts += 1
+                self.oracle.report_violation(f"EXIT {gateway.name} code {code}")
+            self.gateway_starts += 1
             gateway.start()
 
 
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -18,7 +18,7 @@
 from standins import ticker
 from standins import web
 
-_KEEP_SECONDS = 120.0
+_RETENTION_SECONDS = 120.0
 _CHARS_PER_TOKEN = 4
 
 
@@ -49,13 +49,13 @@
     id: str
     model: str
     words: list[str]
-    begins: float
+    first_event_at: float
     is_chat: bool
     cancelled: bool = False
 
     def ready_at(self, index: int, step: float) -> float:
         """When an event is there, in monotonic seconds."""
-        return self.begins + index * step
+        return self.first_event_at + index * step
 
 
 def make_words(model: str, prompt: str, count: int) -> list[str]:
@@ -193,7 +193,7 @@
         generation = self._begin(request_id, body, "chat" in path)
         if not body.get("stream"):
             self._sleep_until(generation, len(generation.words))
-            return handler.reply(200, _whole(generation))
+            return handler.reply(200, _format_completion(generation))
         handler.begin_chunks("text/event-stream")
         return self._send_events(handler, generation, 0)
 
@@ -209,17 +209,17 @@
         # A generation frees its slot by its own clock, not its reader's.
         self._slots.acquire()
         count = int(body.get("max_tokens") or 16)
-        begins = time.monotonic() + tokens / self.options.prefill_rate
+        first_event_at = time.monotonic() + tokens / self.options.prefill_rate
         words = make_words(body["model"], prompt, count)
         generation = Generation(
-            request_id, body["model"], words, begins, is_chat
+            request_id, body["model"], words, first_event_at, is_chat
         )
         with self._lock:
             self.served += 1
             del self._waiting[request_id]
             self._running.add(request_id)
             self._generations[request_id] = generation
-        ends = begins + count * self.options.step
+        ends = first_event_at + count * self.options.step
         self._ticker.add(ends, lambda: self._finish(request_id))
         return generation
 
@@ -227,12 +227,12 @@
         with self._lock:
             self._running.discard(request_id)
             now = time.monotonic()
-            old = [
+            expired = [
                 g.id
                 for g in self._generations.values()
-                if now - g.begins > _KEEP_SECONDS
+                if now - g.first_event_at > _RETENTION_SECONDS
             ]
-            for name in old:
+            for name in expired:
                 del self._generations[name]
         self._slots.release()
 
@@ -255,7 +255,7 @@
                 if self._is_cut(generation, index):
                     # In the middle of an event, as a real cut would be.
                     if index < len(generation.words):
-                        writer.write(_event(generation, index)[:20])
+                        writer.write(_format_event(generation, index)[:20])
                     writer.close()
                     return None
                 if index >= len(generation.words):
@@ -263,7 +263,7 @@
                     writer.write(b"")
                     writer.close()
                     return None
-                writer.write(_event(generation, index))
+                writer.write(_format_event(generation, index))
             except OSError:
                 writer.close()
                 return None
@@ -295,7 +295,7 @@
         return self._send_events(handler, generation, after + 1)
 
 
-def _event(generation: Generation, index: int) -> bytes:
+def _format_event(generation: Generation, index: int) -> bytes:
     word = generation.words[index]
     if generation.is_chat:
         choice: Any = {"index": 0, "delta": {"content": word}}
@@ -309,7 +309,7 @@
     return f"id: {index}\ndata: {json.dumps(chunk)}\n\n".encode()
 
 
-def _whole(generation: Generation) -> Any:
+def _format_completion(generation: Generation) -> Any:
     text = "".join(generation.words)
     if generation.is_chat:
         message = {"role": "assistant", "content": text}
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -16,8 +16,8 @@
 from standins import web
 
 _PREFIX = "/apis/wayslip.io/v1/"
-_MAX_BYTES = 1_000_000
-_HISTORY = 1000
+_MAX_OBJECT_BYTES = 1_000_000
+_HISTORY_EVENTS = 1000
 
 
 @dataclasses.dataclass
@@ -60,9 +60,9 @@
         self._rng = random.Random(seed)
         self._version = 0
         self._objects: dict[tuple[str, str], Any] = {}
-        self._older: dict[tuple[str, str], Any] = {}
+        self._previous: dict[tuple[str, str], Any] = {}
         self._events: collections.deque[tuple[int, str, str, Any]] = (
-            collections.deque(maxlen=_HISTORY)
+            collections.deque(maxlen=_HISTORY_EVENTS)
         )
         self._changed = threading.Condition()
 
@@ -119,7 +119,7 @@
                 return 200, {"items": items, "metadata": metadata}
             found = self._objects.get((plural, name))
             if found is not None and self._draw(self.faults.stale):
-                found = self._older.get((plural, name), found)
+                found = self._previous.get((plural, name), found)
         if found is None:
             return 404, {"code": 404}
         return 200, found
@@ -128,7 +128,7 @@
         self, method: str, plural: str, name: str, body: Any
     ) -> tuple[int, Any]:
         """Makes a conditional change; returns status and body."""
-        if body is not None and len(json.dumps(body)) > _MAX_BYTES:
+        if body is not None and len(json.dumps(body)) > _MAX_OBJECT_BYTES:
             return 413, {"code": 413}
         with self._changed:
             if method == "POST":
@@ -144,7 +144,7 @@
                     return 409, {"code": 409}
             self._version += 1
             if known is not None:
-                self._older[plural, name] = known
+                self._previous[plural, name] = known
             if method == "DELETE":
                 del self._objects[plural, name]
                 self._record("DELETED", plural, known)
@@ -164,9 +164,11 @@
 
     def _watch(self, handler: web.Handler, plural: str) -> None:
         since = int(handler.query.get("resourceVersion", "0"))
-        ends = time.monotonic() + float(handler.query.get("timeoutSeconds", 30))
+        deadline = time.monotonic() + float(
+            handler.query.get("timeoutSeconds", 30)
+        )
         handler.begin_chunks("application/json")
-        while time.monotonic() < ends and not self.faults.down:
+        while time.monotonic() < deadline and not self.faults.down:
             if self.faults.cut_watches == 1:
                 return handler.cut()
             with self._changed:
@@ -174,13 +176,13 @@
                 expired = since and first > since + 1
                 if expired or self.faults.cut_watches == 2:
                     return self._expire(handler)
-                fresh = [e for e in self._events if e[0] > since]
-                if not fresh:
+                new_events = [e for e in self._events if e[0] > since]
+                if not new_events:
                     self._changed.wait(0.25)
                     continue
-            since = fresh[-1][0]
-            for _, change, of, body in fresh:
-                if of == plural and not self._draw(self.faults.skip):
+            since = new_events[-1][0]
+            for _, change, event_plural, body in new_events:
+                if event_plural == plural and not self._draw(self.faults.skip):
                     event = {"type": change, "object": body}
                     handler.write_chunk(json.dumps(event).encode() + b"\n")
         if self.faults.down:
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -16,7 +16,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Received:
+class ReceivedRequest:
     """A request that an endpoint got."""
 
     method: str
@@ -30,10 +30,12 @@
         return self.headers.get("wayslip-request-id", "")
 
 
-Script = Callable[["PlatformEngine", Received, "Line"], Awaitable[None]]
+Script = Callable[
+    ["PlatformEngine", ReceivedRequest, "Connection"], Awaitable[None]
+]
 
 
-class Line:
+class Connection:
     """The connection that a request came on."""
 
     def __init__(
@@ -55,7 +57,7 @@
 
     async def answer(
         self,
-        request: Received,
+        request: ReceivedRequest,
         body: bytes = b"ok",
         status: int = 200,
         **headers: str,
@@ -81,10 +83,10 @@
 
 
 async def answer_whole(
-    engine: "PlatformEngine", request: Received, line: Line
+    engine: "PlatformEngine", request: ReceivedRequest, connection: Connection
 ) -> None:
     """The usual script: answers with the endpoint's name."""
-    await line.answer(request, engine.name.encode())
+    await connection.answer(request, engine.name.encode())
 
 
 @dataclasses.dataclass
@@ -97,7 +99,7 @@
         orders: Bodies of the orders that it got.
         order_status: What it answers to an order; 0 to carry it out and
             say nothing.
-        taken: How many orders it has carried out.
+        applied_orders: How many orders it has carried out.
         report_lag: How old its reports are, seconds.
         limit: Requests a second that its answers say it takes, None for none.
         calls: When each request, order and report came, steady seconds.
@@ -107,10 +109,10 @@
 
     name: str
     script: Script = answer_whole
-    received: list[Received] = dataclasses.field(default_factory=list)
+    received: list[ReceivedRequest] = dataclasses.field(default_factory=list)
     orders: list[dict[str, Any]] = dataclasses.field(default_factory=list)
     order_status: int = 202
-    taken: int = 0
+    applied_orders: int = 0
     report_lag: float = 0.0
     limit: float | None = None
     calls: list[float] = dataclasses.field(default_factory=list)
@@ -123,7 +125,7 @@
     left: int = 0
     is_ended: bool = False
     _server: asyncio.Server | None = None
-    _lines: set[Line] = dataclasses.field(default_factory=set)
+    _open_connections: set[Connection] = dataclasses.field(default_factory=set)
 
     async def start(self) -> str:
         """Listens; returns the address."""
@@ -140,46 +142,48 @@
         """Ends at once: breaks all connections off, refuses new ones."""
         self.is_ended = True
         self.stop()
-        for line in list(self._lines):
-            line.reset()
+        for connection in list(self._open_connections):
+            connection.reset()
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.connections += 1
-        line = Line(reader, writer)
-        self._lines.add(line)
+        connection = Connection(reader, writer)
+        self._open_connections.add(connection)
         try:
             while True:
                 request = await _read_request(reader)
-                await self._respond(request, line)
+                await self._respond(request, connection)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
         finally:
-            self._lines.discard(line)
+            self._open_connections.discard(connection)
 
-    async def _respond(self, request: Received, line: Line) -> None:
+    async def _respond(
+        self, request: ReceivedRequest, connection: Connection
+    ) -> None:
         self.calls.append(time.monotonic())
-        line.headers = self.name_limit()
+        connection.headers = self.limit_headers()
         if request.target == "/wayslip/report":
-            report = json.dumps(self._find_old_report())
-            await line.answer(request, report.encode())
+            report = json.dumps(self._delayed_report())
+            await connection.answer(request, report.encode())
             return
         if request.target == "/wayslip/order":
-            await self._take_order(request, line)
+            await self._take_order(request, connection)
             return
         self.received.append(request)
         try:
-            await self.script(self, request, line)
+            await self.script(self, request, connection)
         except ConnectionError:
             self.left += 1
             raise
 
-    def name_limit(self) -> dict[str, str]:
+    def limit_headers(self) -> dict[str, str]:
         """Returns the headers that name its limit."""
         return {} if self.limit is None else {"Server-Limit": str(self.limit)}
 
-    def _find_old_report(self) -> dict[str, Any]:
+    def _delayed_report(self) -> dict[str, Any]:
         """Returns the report of as long ago as reports are old."""
         limit = time.monotonic() - self.report_lag
         replaced = [r for at, r in self._reports if at > limit]
@@ -190,31 +194,37 @@
             {"name": name, "version": 1, "adapters": list(adapters)}
             for name, adapters in self.models.items()
         ]
-        return {"seq": self.taken, "busy": self.is_busy, "models": models}
-
-    async def _take_order(self, request: Received, line: Line) -> None:
+        return {
+            "seq": self.applied_orders,
+            "busy": self.is_busy,
+            "models": models,
+        }
+
+    async def _take_order(
+        self, request: ReceivedRequest, connection: Connection
+    ) -> None:
         order = json.loads(request.body)
         self.orders.append(order)
-        status = self._answer_uncounted(order)
+        status = self._answer_no_op(order)
         if status is not None:
-            await line.answer(request, b"{}", status)
+            await connection.answer(request, b"{}", status)
             return
         status = self.order_status
-        if order["expected_count"] != self.taken:
+        if order["expected_count"] != self.applied_orders:
             status = 409
         if status == 202 and order["operation"] == "unload":
             # An adapter goes at once, a model after its runs.
             status = 200 if order.get("adapter") else 202
         if status in (200, 202, 0):
             self._reports.append((time.monotonic(), self._report()))
-            self.taken += 1
+            self.applied_orders += 1
             self._carry_out(order)
         if status == 0:
-            line.reset()
+            connection.reset()
             return
-        await line.answer(request, b"{}", status)
+        await connection.answer(request, b"{}", status)
 
-    def _answer_uncounted(self, order: dict[str, Any]) -> int | None:
+    def _answer_no_op(self, order: dict[str, Any]) -> int | None:
         """Returns the answer to an order that there is nothing to do for.
 
         As the platform's engines were seen to answer: whatever count it names,
@@ -222,12 +232,12 @@
         """
         adapter = order.get("adapter")
         held = self.models.get(order["model"])
-        is_there = held is not None and (not adapter or adapter in held)
+        is_loaded = held is not None and (not adapter or adapter in held)
         if order["operation"] == "unload":
-            return None if is_there else 200
+            return None if is_loaded else 200
         if held is None:
             return 421 if adapter else None
-        return 200 if is_there else None
+        return 200 if is_loaded else None
 
     def _carry_out(self, order: dict[str, Any]) -> None:
         model, adapter = order["model"], order.get("adapter")
@@ -241,7 +251,7 @@
             del self.models[model]
 
 
-async def _read_request(reader: asyncio.StreamReader) -> Received:
+async def _read_request(reader: asyncio.StreamReader) -> ReceivedRequest:
     head = await reader.readuntil(b"\r\n\r\n")
     first, *lines = head.decode("latin-1").strip().split("\r\n")
     method, target, _ = first.split(" ")
@@ -251,4 +261,4 @@
         headers[name.strip().lower()] = value.strip()
     length = int(headers.get("content-length", 0))
     body = await reader.readexactly(length)
-    return Received(method, target, headers, body)
+    return ReceivedRequest(method, target, headers, body)
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -18,7 +18,7 @@
 
 _PREFIX = "/wayslip/objects/"
 _JSON = ((b"content-type", b"application/json"),)
-_STEP = 0.01
+_STEP_SECONDS = 0.01
 # Objects by kind and name.
 _Objects = dict[str, dict[str, dict[str, Any]]]
 
@@ -61,7 +61,7 @@
         self.era = 1
         self._backup: tuple[_Objects, int] | None = None
         # Objects and revision that the copies stay at, None if at the newest.
-        self._copies: tuple[_Objects, int] | None = None
+        self._stale_state: tuple[_Objects, int] | None = None
         self._server = server.Server(
             ("127.0.0.1", 0), self._answer, manifest.Limits
         )
@@ -113,7 +113,7 @@
 
     def hold_copies(self) -> None:
         """Lets reads that may be stale see nothing newer from now on."""
-        self._copies = (copy.deepcopy(self.objects), self.revision)
+        self._stale_state = (copy.deepcopy(self.objects), self.revision)
 
     def keep_backup(self) -> None:
         """Keeps a copy of what is there, to come back from."""
@@ -126,7 +126,7 @@
         self.objects = copy.deepcopy(objects)
         self.history = [h for h in self.history if h[0] <= self.revision]
         self.oldest = min(self.oldest, self.revision)
-        self._copies = None
+        self._stale_state = None
         self.era += 1
 
     # Calls
@@ -136,7 +136,7 @@
         url = urllib.parse.urlsplit(exchange.request.target.decode())
         self.calls.append((method, exchange.request.target.decode()))
         while self.faults.is_silent:
-            await asyncio.sleep(_STEP)
+            await asyncio.sleep(_STEP_SECONDS)
         if self.faults.is_down:
             exchange.answer(503, self._headers(), b"")
             return
@@ -174,34 +174,34 @@
     ) -> None:
         """Sends an answer as over a narrow link, some bytes each step."""
         exchange.start(status, self._headers(), len(body))
-        step = max(int(bytes_per_s * _STEP), 1)
-        for first in range(0, len(body), step):
+        step = max(int(bytes_per_s * _STEP_SECONDS), 1)
+        for offset in range(0, len(body), step):
             stall = self.faults.stalls_after
-            if stall is not None and first >= stall:
+            if stall is not None and offset >= stall:
                 await asyncio.Event().wait()
-            await exchange.send(body[first : first + step])
-            await asyncio.sleep(_STEP)
+            await exchange.send(body[offset : offset + step])
+            await asyncio.sleep(_STEP_SECONDS)
         exchange.finish()
 
     def _headers(self) -> messages.Headers:
         return (*_JSON, (b"store-era", b"%d" % self.era))
 
-    def _find(self, query: dict[str, str]) -> tuple[_Objects, int]:
+    def _visible_state(self, query: dict[str, str]) -> tuple[_Objects, int]:
         """Returns the objects and the revision that a read sees."""
-        if self._copies is not None and query.get("serializable") == "1":
-            return self._copies
+        if self._stale_state is not None and query.get("serializable") == "1":
+            return self._stale_state
         return self.objects, self.revision
 
     def _get(
         self, kind: str, name: str, query: dict[str, str]
     ) -> tuple[int, Any]:
-        objects, _ = self._find(query)
+        objects, _ = self._visible_state(query)
         value = objects.get(kind, {}).get(name)
         return (200, value) if value else (404, {})
 
     def _list(self, kind: str, query: dict[str, str]) -> tuple[int, Any]:
         after = query.get("after", "")
-        objects, revision = self._find(query)
+        objects, revision = self._visible_state(query)
         values = objects.get(kind, {})
         names = sorted(n for n in values if n > after)
         page = names[: self.faults.page]
@@ -225,7 +225,7 @@
             ]
             if events or loop.time() >= end:
                 return 200, {"events": events, "as_of": self.revision}
-            await asyncio.sleep(_STEP)
+            await asyncio.sleep(_STEP_SECONDS)
 
     def _write(
         self,
@@ -251,8 +251,8 @@
         if method == "PUT" and known is None:
             return 404, {}
         if known is not None:
-            wanted = content["metadata"].get("revision")
-            if wanted != known["metadata"]["revision"]:
+            expected = content["metadata"].get("revision")
+            if expected != known["metadata"]["revision"]:
                 return 409, known
         self.put(kind, name, content["spec"])
         return 200, self.objects[kind][name]
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -8,9 +8,9 @@
 
 # Below the range from which the system gives ports to outgoing connections, so
 # that none of those takes a port between its choice and its use.
-_FIRST = 20_000
-_COUNT = 12_000
-_PORTS = itertools.count(os.getpid() % 50 * 200)
+_FIRST_PORT = 20_000
+_PORT_COUNT = 12_000
+_PORT_OFFSETS = itertools.count(os.getpid() % 50 * 200)
 SHARED_HOST = "127.0.0.1"
 
 
@@ -23,7 +23,7 @@
 def find_free(host: str = SHARED_HOST) -> int:
     """Returns a port of a host that is free for TCP and UDP."""
     while True:
-        port = _FIRST + next(_PORTS) % _COUNT
+        port = _FIRST_PORT + next(_PORT_OFFSETS) % _PORT_COUNT
         if is_free(host, port):
             return port
 
--- a/standins/service.py
+++ b/standins/service.py
@@ -40,16 +40,16 @@
             return handler.reply(503, {"error": "leaving"}, X_Not_Started="1")
         return self._run(handler, path)
 
-    def _take(self, name: str) -> bool:
+    def _consume(self, name: str) -> bool:
         with self._lock:
-            left = getattr(self, name)
-            if left <= 0:
+            remaining = getattr(self, name)
+            if remaining <= 0:
                 return False
-            setattr(self, name, left - 1)
+            setattr(self, name, remaining - 1)
             return True
 
     def _run(self, handler: web.Handler, path: str) -> None:
-        if self._take("cut_before"):
+        if self._consume("cut_before"):
             return handler.cut()
         try:
             body: Any = json.loads(handler.body or b"{}")
@@ -61,7 +61,7 @@
                 self.runs[run_id] += 1
         if self.delay:
             time.sleep(self.delay)
-        if self._take("cut_after"):
+        if self._consume("cut_after"):
             return handler.cut()
         answer = {"ran": run_id, "path": path, "times": self.runs[run_id]}
         return handler.reply(200, answer)
--- a/standins/ticker.py
+++ b/standins/ticker.py
@@ -18,14 +18,14 @@
 
     def __init__(self) -> None:
         self._tasks: list[tuple[float, int, Task]] = []
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._changed = threading.Condition()
         threading.Thread(target=self._run, daemon=True).start()
 
     def add(self, due: float, task: Task) -> None:
         """Has a task called at a time."""
         with self._changed:
-            heapq.heappush(self._tasks, (due, next(self._numbers), task))
+            heapq.heappush(self._tasks, (due, next(self._sequence), task))
             self._changed.notify()
 
     def _run(self) -> None:
@@ -38,9 +38,9 @@
                     self._changed.wait(wait)
                     continue
                 task = heapq.heappop(self._tasks)[2]
-            again = task()
-            if again is not None:
-                self.add(again, task)
+            next_due = task()
+            if next_due is not None:
+                self.add(next_due, task)
 
 
 class ChunkWriter:
@@ -48,7 +48,7 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self._rest = b""
+        self._unsent = b""
         sock.setblocking(False)
 
     def write(self, data: bytes) -> None:
@@ -57,14 +57,14 @@
         Raises:
             OSError: The reader is gone.
         """
-        self._rest += b"%x\r\n%s\r\n" % (len(data), data)
+        self._unsent += b"%x\r\n%s\r\n" % (len(data), data)
         self.flush()
 
     def flush(self) -> bool:
         """Sends what it can; returns whether all of it is sent."""
         try:
-            while self._rest:
-                self._rest = self._rest[self.sock.send(self._rest) :]
+            while self._unsent:
+                self._unsent = self._unsent[self.sock.send(self._unsent) :]
         except BlockingIOError:
             return False
         return True
--- a/tests/system.py
+++ b/tests/system.py
@@ -135,10 +135,10 @@
             return False
         if not lines:
             return False
-        self._take(lines)
+        self._parse_event(lines)
         return True
 
-    def _take(self, lines):
+    def _parse_event(self, lines):
         fields = dict(line.split(": ", 1) for line in lines)
         # Two data lines would be two events run into one.
         assert len(fields) == len(lines), lines
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -52,8 +52,10 @@
             server = await asyncio.start_server(echo, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
             proxy = proxy_module.Proxy(f"127.0.0.1:{port}")
-            host, _, own = (await proxy.start()).rpartition(":")
-            reader, writer = await asyncio.open_connection(host, int(own))
+            host, _, proxy_port = (await proxy.start()).rpartition(":")
+            reader, writer = await asyncio.open_connection(
+                host, int(proxy_port)
+            )
             try:
                 async with asyncio.timeout(20):
                     await test(proxy, reader, writer)
@@ -69,27 +71,27 @@
 
 
 @with_proxy
-async def test_bytes_pass_unharmed(proxy, reader, writer):
+async def test_bytes_pass_without_a_fault(proxy, reader, writer):
     writer.write(b"hello")
     assert await reader.readexactly(5) == b"hello"
 
 
 @pytest.mark.parametrize(
-    "harm",
+    "fault",
     [
-        proxy_module.Harm.SILENT,
-        proxy_module.Harm.DEAF,
-        proxy_module.Harm.MUTE,
+        proxy_module.LinkFault.STALL,
+        proxy_module.LinkFault.STALL_TO_SERVER,
+        proxy_module.LinkFault.STALL_FROM_SERVER,
     ],
 )
-def test_held_up_bytes_come_once_the_harm_is_over(harm):
+def test_stalled_bytes_arrive_once_the_fault_is_over(fault):
     @with_proxy
     async def body(proxy, reader, writer):
-        proxy.set_harm(harm)
+        proxy.set_fault(fault)
         writer.write(b"hello")
         with pytest.raises(TimeoutError):
             await asyncio.wait_for(reader.readexactly(5), 0.3)
-        proxy.set_harm(proxy_module.Harm.NONE)
+        proxy.set_fault(proxy_module.LinkFault.NONE)
         assert await reader.readexactly(5) == b"hello"
 
     body()
@@ -99,6 +101,6 @@
 async def test_reset_ends_open_and_new_connections(proxy, reader, writer):
     writer.write(b"hello")
     await reader.readexactly(5)
-    proxy.set_harm(proxy_module.Harm.RESET)
+    proxy.set_fault(proxy_module.LinkFault.RESET)
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
