--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems, for tests, benches and `make run`."""
+"""Stand-ins for external systems, used by tests, benches and `make run`."""
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,9 +1,9 @@
 """Stand-in for a model engine.
 
-Answers completions with words drawn from the prompt, so that any caller can
-check what it got. A generation goes on by its own clock whether or not anyone
-reads it, and can be read again from any event. Its memory is true memory: a
-load that does not fit is counted in `overcommitted`.
+Answers completions with words derived from the model and the prompt, so that
+any caller can verify an answer. A generation advances with time whether or not
+a client reads it, and can be read again from any event. Memory use is tracked:
+a load that exceeds the capacity is counted in `overcommitted`.
 """
 
 import argparse
@@ -24,13 +24,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Options:
-    """How the engine behaves.
+    """Behaviour of the engine.
 
     Attributes:
-        checks_fence: Whether an order with an old fence or boot is refused.
-        load_seconds: Time from a load order to the item being resident.
-        overload: Whether it takes a load that does not fit, as an engine
-            without a check of its own would.
+        checks_fence: Whether an order with an old fence or another boot is
+            refused.
+        load_seconds: Time from a load order until the item is resident.
+        overload: Whether a load that exceeds the capacity is accepted, as by
+            an engine that does not check its memory.
     """
 
     capacity: int = 80_000
@@ -44,7 +45,7 @@
 
 @dataclasses.dataclass
 class Generation:
-    """One answer in the making."""
+    """A completion that is being generated."""
 
     id: str
     model: str
@@ -54,12 +55,12 @@
     cancelled: bool = False
 
     def ready_at(self, index: int, step: float) -> float:
-        """When an event is there, in monotonic seconds."""
+        """Returns when an event becomes available, in monotonic seconds."""
         return self.first_event_at + index * step
 
 
 def make_words(model: str, prompt: str, count: int) -> list[str]:
-    """Returns the words that answer a prompt; tests check against it."""
+    """Returns the words that answer a prompt; tests compare with them."""
     seed = hashlib.blake2b(f"{model}\0{prompt}".encode()).hexdigest()
     return [f"{seed[i % 100 : i % 100 + 4]}{i} " for i in range(count)]
 
@@ -85,7 +86,7 @@
         self.overcommitted = 0
         self.served = 0
         self.lose_answers = 0
-        # Whether it breaks off whoever asks for its load report.
+        # Whether requests for the load report are closed without an answer.
         self.cut_reports = False
         self.cut_streams_after = 0
         self.orders: list[Any] = []
@@ -145,12 +146,12 @@
             }
 
     def apply(self, order: Any) -> tuple[str, str]:
-        """Carries an order out; returns outcome and detail."""
+        """Applies an order; returns outcome and detail."""
         with self._lock:
             self.orders.append(order)
             if self.options.checks_fence:
                 if order["boot"] != self.boot or order["fence"] <= self.fence:
-                    return "refused", "the fence is old"
+                    return "refused", "the boot or the fence is outdated"
                 self.fence = order["fence"]
             if order["action"] == "load":
                 return self._load(order["item"], order["size"])
@@ -159,12 +160,12 @@
 
     def _load(self, item: str, size: int) -> tuple[str, str]:
         if item in self._items:
-            return "applied", "it was there"
+            return "applied", "the item was already resident or loading"
         used = sum(s for s, _ in self._items.values())
         if used + size > self.options.capacity:
             self.overcommitted += 1
             if not self.options.overload:
-                return "refused", "there is no room"
+                return "refused", "not enough memory"
         ready = time.monotonic() + self.options.load_seconds
         self._items[item] = (size, ready)
         return "applied", ""
@@ -206,7 +207,8 @@
         tokens = len(prompt) // _CHARS_PER_TOKEN + 1
         with self._lock:
             self._waiting[request_id] = tokens
-        # A generation frees its slot by its own clock, not its reader's.
+        # A generation releases its slot when its time is over, whether or not
+        # a client reads it.
         self._slots.acquire()
         count = int(body.get("max_tokens") or 16)
         first_event_at = time.monotonic() + tokens / self.options.prefill_rate
@@ -243,7 +245,7 @@
     def _send_events(
         self, handler: web.Handler, generation: Generation, first: int
     ) -> None:
-        """Sends events from a number on, each at its time."""
+        """Sends the events from index `first` on, each when it is ready."""
         writer = ticker.ChunkWriter(handler.detach())
         index = first
 
@@ -253,7 +255,7 @@
                 if not writer.flush():
                     return time.monotonic() + ticker.RETRY_SECONDS
                 if self._is_cut(generation, index):
-                    # In the middle of an event, as a real cut would be.
+                    # In the middle of an event, as when a connection breaks.
                     if index < len(generation.words):
                         writer.write(_format_event(generation, index)[:20])
                     writer.close()
@@ -326,7 +328,7 @@
 
 
 def main() -> None:
-    """Runs the stand-in until it is ended."""
+    """Runs the stand-in until the process is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--capacity", type=int, default=80_000)
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform's object API, with faults on request.
+"""Stand-in for the platform's object API, with fault injection.
 
-Keeps objects in memory with rising versions. `POST /standin/faults` sets the
-fields of `Faults`; each fault is drawn from a seeded source.
+Keeps objects in memory with increasing versions. `POST /standin/faults` sets
+the fields of `Faults`; a seeded random generator decides which calls fail.
 """
 
 import argparse
@@ -22,16 +22,17 @@
 
 @dataclasses.dataclass
 class Faults:
-    """What goes wrong; fractions are chances for each call.
+    """Injected faults; fractions are probabilities.
 
     Attributes:
-        down: Every call breaks off without an answer.
+        down: Whether every connection is closed without an answer.
         delay: Seconds before each answer.
-        lose: Writes that take effect and whose answer is lost.
-        stale: Reads that get an older version.
-        fail: Calls answered 503 with no effect.
-        skip: Events a watch leaves out.
-        cut_watches: Watches end at once; 2 makes them expire with 410.
+        lose: Fraction of the writes that take effect without an answer.
+        stale: Fraction of the reads of one object that return its previous
+            version.
+        fail: Fraction of the calls that are answered 503 and have no effect.
+        skip: Fraction of the events that a watch omits.
+        cut_watches: 1 closes watches at once, 2 makes them expire with 410.
     """
 
     down: bool = False
@@ -109,7 +110,7 @@
     # Storage
 
     def read(self, plural: str, name: str) -> tuple[int, Any]:
-        """Returns status and body of a get or list."""
+        """Returns status and body of a get, or of a list without a name."""
         with self._changed:
             if not name:
                 items = [
@@ -127,7 +128,7 @@
     def write(
         self, method: str, plural: str, name: str, body: Any
     ) -> tuple[int, Any]:
-        """Makes a conditional change; returns status and body."""
+        """Applies a conditional write; returns status and body."""
         if body is not None and len(json.dumps(body)) > _MAX_OBJECT_BYTES:
             return 413, {"code": 413}
         with self._changed:
@@ -196,7 +197,7 @@
 
 
 def main() -> None:
-    """Runs the stand-in until it is ended."""
+    """Runs the stand-in until the process is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--token", default="")
--- a/standins/platform_client.py
+++ b/standins/platform_client.py
@@ -1,4 +1,4 @@
-"""A client of the gateway that shows what came byte by byte."""
+"""A client of the gateway that returns answers exactly as received."""
 
 import asyncio
 import dataclasses
@@ -8,7 +8,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """An answer as a client got it."""
+    """An answer as the client received it.
+
+    Attributes:
+        status: The HTTP status.
+        headers: Values by lower-case name.
+        body: The bytes received, also of an incomplete answer.
+        is_whole: Whether the body was received completely.
+    """
 
     status: int
     headers: dict[str, str]
@@ -17,7 +24,7 @@
 
 
 class Client:
-    """A client's connection, read byte by byte."""
+    """A client connection that parses answers without an HTTP library."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -34,7 +41,16 @@
         deadline: int = 3000,
         **headers: str,
     ) -> None:
-        """Sends a request; names of headers have _ for -."""
+        """Sends a request.
+
+        Args:
+            path: The request's path.
+            request_id: The request's id.
+            method: The method.
+            body: The body, empty for none.
+            deadline: Time until the deadline, in milliseconds.
+            **headers: Further headers, with _ for - in their names.
+        """
         lines = [
             f"{method} {path} HTTP/1.1",
             f"Host: {platform_site.HOST}",
@@ -51,7 +67,8 @@
         """Returns the next answer.
 
         Raises:
-            asyncio.IncompleteReadError: The connection ended before a head.
+            asyncio.IncompleteReadError: The connection ended within the
+                head.
         """
         head = await self.reader.readuntil(b"\r\n\r\n")
         first, *lines = head.decode("latin-1").strip().split("\r\n")
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -1,7 +1,7 @@
-"""Stand-in for an endpoint of the platform, with scripted misbehaviour.
+"""Stand-in for an endpoint of the platform, with scripted faults.
 
-It reads whole requests from raw sockets and hands them to a script, which
-writes whatever it likes: a whole answer, half of one, two, or none.
+It reads complete requests from raw sockets and passes them to a script, which
+may write a complete answer, a partial one, several, or none.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ReceivedRequest:
-    """A request that an endpoint got."""
+    """A request that an endpoint received."""
 
     method: str
     target: str
@@ -36,14 +36,14 @@
 
 
 class Connection:
-    """The connection that a request came on."""
+    """The connection on which a request was received."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.reader = reader
         self.writer = writer
-        # Headers of every answer of the endpoint's own.
+        # Headers added to every answer that the endpoint itself sends.
         self.headers: dict[str, str] = {}
 
     async def write(self, data: bytes) -> None:
@@ -52,7 +52,7 @@
         await self.writer.drain()
 
     def reset(self) -> None:
-        """Breaks the connection off."""
+        """Resets the connection."""
         self.writer.transport.abort()
 
     async def answer(
@@ -62,7 +62,7 @@
         status: int = 200,
         **headers: str,
     ) -> None:
-        """Writes a whole answer of the endpoint's own."""
+        """Writes a complete answer with the endpoint's headers."""
         named = {**self.headers, **headers}
         await self.write(format_answer(request.id, body, status, **named))
 
@@ -70,7 +70,7 @@
 def format_answer(
     request_id: str, body: bytes, status: int = 200, **headers: str
 ) -> bytes:
-    """Returns a whole answer as bytes."""
+    """Returns a complete answer as bytes; empty header values are omitted."""
     named = {
         "Wayslip-Request-Id": request_id,
         "Wayslip-Server-Seal": SEAL,
@@ -85,7 +85,7 @@
 async def answer_whole(
     engine: "PlatformEngine", request: ReceivedRequest, connection: Connection
 ) -> None:
-    """The usual script: answers with the endpoint's name."""
+    """The default script: answers with the endpoint's name."""
     await connection.answer(request, engine.name.encode())
 
 
@@ -94,16 +94,18 @@
     """The stand-in. Used on the event loop only.
 
     Attributes:
-        script: What it does with a request.
-        received: Requests that reached it, orders and reports left out.
-        orders: Bodies of the orders that it got.
-        order_status: What it answers to an order; 0 to carry it out and
-            say nothing.
-        applied_orders: How many orders it has carried out.
-        report_lag: How old its reports are, seconds.
-        limit: Requests a second that its answers say it takes, None for none.
-        calls: When each request, order and report came, steady seconds.
-        left: How many connections were closed while a script ran.
+        script: Answers requests other than orders and reports.
+        received: Requests received, without orders and requests for reports.
+        orders: Bodies of the orders received.
+        order_status: Status of the answer to an order; 0 to apply the order
+            and reset the connection.
+        applied_orders: Number of orders applied.
+        report_lag: Age of the state that reports show, in seconds.
+        limit: Requests per second that its answers announce as its limit,
+            None to announce no limit.
+        calls: When each request, order and request for a report was
+            received, in monotonic seconds.
+        left: Number of connections that were closed while a script ran.
         is_ended: Whether it has crashed.
     """
 
@@ -139,7 +141,7 @@
             self._server.close()
 
     def crash(self) -> None:
-        """Ends at once: breaks all connections off, refuses new ones."""
+        """Simulates a crash: resets all connections and refuses new ones."""
         self.is_ended = True
         self.stop()
         for connection in list(self._open_connections):
@@ -180,11 +182,11 @@
             raise
 
     def limit_headers(self) -> dict[str, str]:
-        """Returns the headers that name its limit."""
+        """Returns the headers that announce its limit."""
         return {} if self.limit is None else {"Server-Limit": str(self.limit)}
 
     def _delayed_report(self) -> dict[str, Any]:
-        """Returns the report of as long ago as reports are old."""
+        """Returns the report as it was `report_lag` seconds ago."""
         limit = time.monotonic() - self.report_lag
         replaced = [r for at, r in self._reports if at > limit]
         return replaced[0] if replaced else self._report()
@@ -213,7 +215,8 @@
         if order["expected_count"] != self.applied_orders:
             status = 409
         if status == 202 and order["operation"] == "unload":
-            # An adapter goes at once, a model after its runs.
+            # An adapter is unloaded at once (200), a model after its running
+            # requests (202).
             status = 200 if order.get("adapter") else 202
         if status in (200, 202, 0):
             self._reports.append((time.monotonic(), self._report()))
@@ -225,10 +228,10 @@
         await connection.answer(request, b"{}", status)
 
     def _answer_no_op(self, order: dict[str, Any]) -> int | None:
-        """Returns the answer to an order that there is nothing to do for.
+        """Returns the status for an order that changes nothing, else None.
 
-        As the platform's engines were seen to answer: whatever count it names,
-        and without counting it.
+        The platform's engines answer such orders whatever count they expect,
+        and don't count them.
         """
         adapter = order.get("adapter")
         held = self.models.get(order["model"])
--- a/standins/platform_site.py
+++ b/standins/platform_site.py
@@ -1,4 +1,4 @@
-"""What an operator and endpoints write into the stand-in of the store."""
+"""Builds what operators and endpoints write into the stand-in store."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -33,7 +33,7 @@
 
 
 def manifest(version: int = 1, **limits: int) -> dict[str, Any]:
-    """Returns a whole manifest: a plain service and a pool of models."""
+    """Returns a manifest with a plain service and a pool of models."""
     models = [{"name": n, **MODEL_SPEC} for n in ("m1", "m2", "m3")]
     return {
         "version": version,
@@ -69,7 +69,7 @@
 
 
 def large_manifest(version: int, routes: int) -> dict[str, Any]:
-    """Returns a manifest with so many routes more, 0.25 KB each."""
+    """Returns a manifest with `routes` additional routes, 0.25 KB each."""
     value = manifest(version)
     value["routes"] += [
         route(f"more-{n}", f"/more-{n}/", "idempotent", "plain")
@@ -81,7 +81,7 @@
 def entry(
     service: str, address: str, models: Iterable[str] = (), **fields: Any
 ) -> dict[str, Any]:
-    """Returns an endpoint's entry in the list."""
+    """Returns an endpoint's entry in the endpoint list."""
     return {
         "service": service,
         "address": address,
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,8 +1,8 @@
-"""Stand-in for the platform's store, on the event loop, with faults.
+"""Stand-in for the platform's store, on the event loop, with fault injection.
 
 It keeps objects with one revision counter, answers lists, watches and
-conditional writes, and forgets its history when told to. Reads that may be
-stale are answered from copies, which it lets fall behind when told to.
+conditional writes, and can compact its history. Reads that allow stale data
+(`serializable=1`) are answered from a copy, which can be frozen at a revision.
 """
 
 import asyncio
@@ -25,17 +25,20 @@
 
 @dataclasses.dataclass
 class Faults:
-    """What goes wrong.
+    """Injected faults.
 
     Attributes:
-        is_down: Calls are answered 503 and do nothing.
-        is_silent: Calls get no answer and do nothing.
-        loses_writes: So many of the next writes are done and not answered;
-            their connections end.
-        mutes_writes: The same, but nothing ends.
-        page: Objects in a page of a list.
-        bytes_per_s: How fast answers leave, None for at once.
-        stalls_after: Bytes of an answer after which nothing more comes.
+        is_down: Whether calls are answered 503 and have no effect.
+        is_silent: Whether calls are held, without effect or answer, until
+            this is unset.
+        loses_writes: Number of next writes that are applied and whose
+            connections are then reset without an answer.
+        mutes_writes: Number of next writes that are applied and never
+            answered; their connections stay open.
+        page: Maximum number of objects in a page of a list.
+        bytes_per_s: Rate at which answers are sent, None for unlimited.
+        stalls_after: Bytes of an answer after which sending stops, None for
+            never; applies only with `bytes_per_s`.
     """
 
     is_down: bool = False
@@ -57,10 +60,10 @@
         self.oldest = 0
         self.history: list[tuple[int, str, bool, dict[str, Any]]] = []
         self.calls: list[tuple[str, str]] = []
-        # Rises each time that the store comes back from a copy.
+        # Increases each time that the store is restored from a backup.
         self.era = 1
         self._backup: tuple[_Objects, int] | None = None
-        # Objects and revision that the copies stay at, None if at the newest.
+        # Objects and revision that stale reads return, None for the newest.
         self._stale_state: tuple[_Objects, int] | None = None
         self._server = server.Server(
             ("127.0.0.1", 0), self._answer, manifest.Limits
@@ -72,11 +75,11 @@
         return f"127.0.0.1:{self._server.port}"
 
     def stop(self) -> None:
-        """Ends all connections."""
+        """Stops listening and resets all connections."""
         self._server.stop_listening()
         self._server.abort_all()
 
-    # What an operator and the endpoints do
+    # Changes by operators and endpoints
 
     def put(self, kind: str, name: str, spec: Any) -> int:
         """Writes an object; returns its revision."""
@@ -107,21 +110,21 @@
         self.history.append((self.revision, kind, True, value))
 
     def forget_history(self) -> None:
-        """Drops the history, as a compaction does."""
+        """Drops the history, as a compaction does; older watches get 410."""
         self.oldest = self.revision
         self.history.clear()
 
     def hold_copies(self) -> None:
-        """Lets reads that may be stale see nothing newer from now on."""
+        """Freezes what reads that allow stale data return."""
         self._stale_state = (copy.deepcopy(self.objects), self.revision)
 
     def keep_backup(self) -> None:
-        """Keeps a copy of what is there, to come back from."""
+        """Keeps a backup of the current objects and revision."""
         self._backup = (copy.deepcopy(self.objects), self.revision)
 
     def return_to_backup(self) -> None:
-        """Loses all that was written since the copy was kept."""
-        assert self._backup is not None, "keep a copy first"
+        """Restores the backup, losing later writes, and starts a new era."""
+        assert self._backup is not None, "keep_backup() must be called first"
         objects, self.revision = self._backup
         self.objects = copy.deepcopy(objects)
         self.history = [h for h in self.history if h[0] <= self.revision]
@@ -172,7 +175,7 @@
         body: bytes,
         bytes_per_s: int,
     ) -> None:
-        """Sends an answer as over a narrow link, some bytes each step."""
+        """Sends an answer at a limited rate."""
         exchange.start(status, self._headers(), len(body))
         step = max(int(bytes_per_s * _STEP_SECONDS), 1)
         for offset in range(0, len(body), step):
@@ -187,7 +190,7 @@
         return (*_JSON, (b"store-era", b"%d" % self.era))
 
     def _visible_state(self, query: dict[str, str]) -> tuple[_Objects, int]:
-        """Returns the objects and the revision that a read sees."""
+        """Returns the objects and the revision that a read returns."""
         if self._stale_state is not None and query.get("serializable") == "1":
             return self._stale_state
         return self.objects, self.revision
--- a/standins/ports.py
+++ b/standins/ports.py
@@ -1,4 +1,4 @@
-"""Addresses for what tests and benches start."""
+"""Loopback addresses and ports for tests and benches."""
 
 from collections.abc import Iterator
 import contextlib
@@ -6,8 +6,8 @@
 import os
 import socket
 
-# Below the range from which the system gives ports to outgoing connections, so
-# that none of those takes a port between its choice and its use.
+# Below the range of ephemeral ports, so that no outgoing connection takes a
+# port between its choice and its use.
 _FIRST_PORT = 20_000
 _PORT_COUNT = 12_000
 _PORT_OFFSETS = itertools.count(os.getpid() % 50 * 200)
@@ -21,7 +21,7 @@
 
 
 def find_free(host: str = SHARED_HOST) -> int:
-    """Returns a port of a host that is free for TCP and UDP."""
+    """Returns a port of the host that is free for TCP and UDP."""
     while True:
         port = _FIRST_PORT + next(_PORT_OFFSETS) % _PORT_COUNT
         if is_free(host, port):
@@ -29,7 +29,7 @@
 
 
 def is_free(host: str, port: int) -> bool:
-    """Whether a port can be bound for both."""
+    """Returns whether a port can be bound for both TCP and UDP."""
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
         with socket.socket(type=kind) as sock:
             try:
@@ -41,7 +41,7 @@
 
 @contextlib.contextmanager
 def hold(host: str, port: int) -> Iterator[None]:
-    """Holds a port with a datagram socket."""
+    """Keeps a port bound with a UDP socket."""
     with socket.socket(type=socket.SOCK_DGRAM) as sock:
         sock.bind((host, port))
         yield
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,7 +1,7 @@
-"""Stand-in for a plain service; it counts true executions by key.
+"""Stand-in for a plain service that counts executions by request id.
 
 `POST /run` executes once per call and is the oracle for "at most once" and
-"not run": `GET /standin/runs` tells how often each request id truly ran.
+"not run": `GET /standin/runs` returns how often each request id was executed.
 """
 
 import argparse
@@ -68,7 +68,7 @@
 
 
 def main() -> None:
-    """Runs the stand-in until it is ended."""
+    """Runs the stand-in until the process is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--delay", type=float, default=0.0)
--- a/standins/ticker.py
+++ b/standins/ticker.py
@@ -1,4 +1,4 @@
-"""One thread that calls functions at their times, for thousands of streams."""
+"""A thread that runs tasks at given times, for thousands of streams."""
 
 from collections.abc import Callable
 import heapq
@@ -7,14 +7,14 @@
 import threading
 import time
 
-# Returns when it wants to be called again, monotonic seconds, or None.
+# Returns when it is due next, in monotonic seconds, or None if it is done.
 Task = Callable[[], float | None]
 
 RETRY_SECONDS = 0.005
 
 
 class Ticker:
-    """Runs tasks at their times."""
+    """Runs tasks when they are due, all on one thread."""
 
     def __init__(self) -> None:
         self._tasks: list[tuple[float, int, Task]] = []
@@ -23,7 +23,7 @@
         threading.Thread(target=self._run, daemon=True).start()
 
     def add(self, due: float, task: Task) -> None:
-        """Has a task called at a time."""
+        """Schedules a task; `due` is in monotonic seconds."""
         with self._changed:
             heapq.heappush(self._tasks, (due, next(self._sequence), task))
             self._changed.notify()
@@ -44,7 +44,7 @@
 
 
 class ChunkWriter:
-    """Writes chunks to a socket without blocking; keeps what is left."""
+    """Writes chunks to a socket without blocking; buffers the unsent rest."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -52,16 +52,16 @@
         sock.setblocking(False)
 
     def write(self, data: bytes) -> None:
-        """Adds a chunk; an empty one ends the answer.
+        """Adds a chunk and sends what it can; an empty chunk ends the answer.
 
         Raises:
-            OSError: The reader is gone.
+            OSError: The client has closed the connection.
         """
         self._unsent += b"%x\r\n%s\r\n" % (len(data), data)
         self.flush()
 
     def flush(self) -> bool:
-        """Sends what it can; returns whether all of it is sent."""
+        """Sends what it can; returns whether nothing is left to send."""
         try:
             while self._unsent:
                 self._unsent = self._unsent[self.sock.send(self._unsent) :]
@@ -70,7 +70,7 @@
         return True
 
     def close(self) -> None:
-        """Breaks off, or ends after the last chunk."""
+        """Closes the connection; unsent bytes are dropped."""
         try:
             self.sock.shutdown(socket.SHUT_RDWR)
         except OSError:
--- a/standins/web.py
+++ b/standins/web.py
@@ -17,7 +17,7 @@
     is_detached = False
 
     def log_message(self, *args: Any) -> None:
-        """Keeps quiet."""
+        """Logs nothing."""
 
     def _handle(self) -> None:
         url = urllib.parse.urlsplit(self.path)
@@ -32,11 +32,11 @@
     do_GET = do_POST = do_PUT = do_DELETE = do_HEAD = do_PATCH = _handle  # noqa: N815
 
     def json(self) -> Any:
-        """Returns the request's body as JSON."""
+        """Returns the decoded JSON body, None if it is empty."""
         return json.loads(self.body or b"null")
 
     def reply(self, status: int, value: Any, **headers: str) -> None:
-        """Sends a whole JSON answer."""
+        """Sends a complete JSON answer; headers have _ for - in their names."""
         self.reply_bytes(status, json.dumps(value).encode(), **headers)
 
     def reply_bytes(
@@ -46,7 +46,7 @@
         content_type: str = "application/json",
         **headers: str,
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete answer; headers have _ for - in their names."""
         self.send_response(status)
         self.send_header("Content-Type", content_type)
         self.send_header("Content-Length", str(len(data)))
@@ -57,7 +57,7 @@
             self.wfile.write(data)
 
     def begin_chunks(self, content_type: str, **headers: str) -> None:
-        """Sends the head of a chunked answer."""
+        """Sends the head of a chunked answer with status 200."""
         self.send_response(200)
         self.send_header("Content-Type", content_type)
         self.send_header("Transfer-Encoding", "chunked")
@@ -70,7 +70,7 @@
         self.wfile.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def detach(self) -> socket.socket:
-        """Gives the connection away; the taker closes it."""
+        """Hands the connection over to the caller, who must close it."""
         self.close_connection = True
         self.is_detached = True
         sock: socket.socket = self.connection
@@ -78,13 +78,13 @@
         return sock
 
     def cut(self) -> None:
-        """Breaks the connection off without an answer."""
+        """Closes the connection without an answer."""
         self.close_connection = True
         self.connection.close()
 
 
 class Server(http.server.ThreadingHTTPServer):
-    """A stand-in; subclasses override `dispatch`."""
+    """Base class of the stand-ins; subclasses override `dispatch`."""
 
     daemon_threads = True
     request_queue_size = 1024
@@ -94,14 +94,14 @@
         self.detached: set[Any] = set()
 
     def shutdown_request(self, request: Any) -> None:
-        """Closes a connection, unless it was given away."""
+        """Closes a connection, unless it was detached."""
         if request in self.detached:
             self.detached.discard(request)
             return
         super().shutdown_request(request)
 
     def handle_error(self, request: Any, client_address: Any) -> None:
-        """Keeps quiet about callers that hung up."""
+        """Ignores errors, such as callers that closed the connection."""
 
     def dispatch(self, handler: Handler, path: str) -> None:
         """Answers one request."""
@@ -109,16 +109,16 @@
 
     @property
     def address(self) -> str:
-        """The address it listens on, "IP:PORT"."""
+        """The address it listens on, as "IP:PORT"."""
         host, port = self.server_address[:2]
         return f"{host!s}:{port}"
 
     def start(self) -> "Server":
-        """Serves in a thread and returns itself."""
+        """Serves in a daemon thread and returns itself."""
         threading.Thread(target=self.serve_forever, daemon=True).start()
         return self
 
     def stop(self) -> None:
-        """Stops serving."""
+        """Stops serving and closes the listening socket."""
         self.shutdown()
         self.server_close()
