--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of real gateways under faults from outside."""
+"""A randomized soak test of gateway processes under injected faults."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,12 +1,14 @@
-"""Real gateways under random faults, checked by oracles.
+"""Runs gateway processes under random faults and checks them by an oracle.
 
 Usage:
   soak [--seconds=N] [--seed=N] [--seeds=N] [--gateways=N] [--clients=N]
        [--keep=DIR]
   soak --help
 
-The schedule of faults follows from the seed, which is printed. Faults come in
-series and overlap; when they are over, everything has to be served again.
+The seed, which is printed, determines the schedule of faults. Faults are
+started one after another and may overlap. After the last one,
+idempotent, non-idempotent and streaming requests must be served again within a
+time limit.
 
 Options:
   --seconds=N   Seconds of faults for each seed [default: 20].
@@ -17,7 +19,7 @@
   --keep=DIR    Where the logs of seeds that failed are kept [default: run].
   --help        Show this text.
 
-Exit codes: 0 if nothing was broken, 1 if something was.
+Exit codes: 0 if no check failed, 1 otherwise.
 """
 
 import asyncio
@@ -34,10 +36,11 @@
 from soak import faults
 from soak import world as world_module
 
-# Between the starts of two faults, seconds; they last up to 4 s, so some
-# overlap.
+# Range of the time between the starts of two faults. Faults may last longer
+# than that, so some overlap.
 _FAULT_INTERVAL_SECONDS = (0.3, 1.8)
-# After the last fault, until every kind of request is served again, seconds.
+# Maximum time, at the start and after the last fault, until a request of each
+# of `_KINDS` is served.
 _RECOVERY_TIMEOUT_SECONDS = 15.0
 _POLL_SECONDS = 0.2
 _KINDS = ("get", "once", "gen", "live")
@@ -46,8 +49,9 @@
 async def _run_seed(
     folder: pathlib.Path, seed: int, options: dict[str, str]
 ) -> list[str]:
-    """Plays one seed; returns what was broken."""
-    # Connections that are open at the end are cancelled; that is no news.
+    """Runs one seed; returns the violations, one line each."""
+    # Tasks of connections still open at the end are cancelled; these errors
+    # are not reported.
     asyncio.get_running_loop().set_exception_handler(_handle_loop_error)
     rng = random.Random(seed)
     tally = clients.Tally()
@@ -63,10 +67,11 @@
         await _wait_until_served(world, tally, "after the faults")
         for task in client_tasks:
             task.cancel()
-        # What is under way may still run, and must not after a promise.
+        # Requests in flight may still run. One that was reported as not run
+        # must not.
         await asyncio.sleep(1.0)
         clients.check_runs(world, tally)
-        print(f"seed {seed}: asked {tally.sent}, served {tally.served}")
+        print(f"seed {seed}: sent {tally.sent}, served {tally.served}")
         return world.oracle.violations
 
 
@@ -115,7 +120,7 @@
 
 
 def main() -> int:
-    """Plays the seeds; returns the exit code."""
+    """Runs the seeds; returns the exit code."""
     assert __doc__ is not None
     options = docopt.docopt(__doc__)
     first = int(options["--seed"] or random.randrange(1_000_000))
@@ -126,12 +131,12 @@
             violations = asyncio.run(_run_seed(folder, seed, options))
             if violations:
                 failed_seeds += 1
-                log_folder = pathlib.Path(options["--keep"]) / f"soak-{seed}"
-                shutil.copytree(folder, log_folder, dirs_exist_ok=True)
+                logs = pathlib.Path(options["--keep"]) / f"soak-{seed}"
+                shutil.copytree(folder, logs, dirs_exist_ok=True)
                 print(
-                    f"seed {seed} broke {len(violations)}; logs in {log_folder}"
+                    f"seed {seed}: {len(violations)} violations; logs in {logs}"
                 )
-    print(f"{options['--seeds']} seeds from {first}: {failed_seeds} broken")
+    print(f"{options['--seeds']} seeds from {first}: {failed_seeds} failed")
     return 1 if failed_seeds else 0
 
 
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the gateways, and what they must never see."""
+"""Clients of the gateways that check every answer."""
 
 import asyncio
 import dataclasses
@@ -10,27 +10,28 @@
 from standins import platform_client
 from standins import platform_engine
 
-# Statuses that promise that the request has not run and never will.
+# Statuses that report that the request has not run and will not run.
 _NOT_RUN_STATUSES = (408, 421, 429, 503)
 _DEADLINE_MS = 3000
-# Requests whose ids begin so run once at most.
+# Requests whose ids begin with these must run at most once.
 _AT_MOST_ONCE_PREFIXES = ("once-", "live-")
-# A connection carries so many requests at most before a new one is opened.
+# A client opens a new connection after at most this many requests.
 _MAX_REQUESTS_PER_CONNECTION = 20
 _ANSWER_TIMEOUT_SECONDS = 8.0
 
 
 @dataclasses.dataclass
 class Tally:
-    """What became of the clients' requests.
+    """Outcomes of the clients' requests.
 
     Attributes:
-        served: Answered whole with success, by kind.
-        sent: All, by kind.
+        served: Number of requests answered completely with success, by kind.
+        sent: Number of all requests, by kind.
         reported_not_run: Non-idempotent requests that the gateway reported as
             not run.
-        newest_served: By gateway and start of its process, the newest
-            configuration whose route it served.
+        newest_served: The newest configuration version whose route was
+            served, by name of the gateway and start time of its process.
+        served_at: When a request was last served, in monotonic seconds.
     """
 
     served: dict[str, int] = dataclasses.field(default_factory=dict)
@@ -43,7 +44,7 @@
 
 
 class Client:
-    """One client that asks again and again, on connections that it keeps."""
+    """A client that sends requests over persistent connections."""
 
     def __init__(
         self, world: world_module.World, tally: Tally, number: int, seed: int
@@ -56,7 +57,7 @@
         self._sent = 0
 
     async def run(self) -> None:
-        """Asks until it is cancelled."""
+        """Sends requests until it is cancelled."""
         while True:
             gateway = self._rng.choice(self._world.gateways)
             try:
@@ -80,7 +81,7 @@
     async def _send_request(
         self, client: platform_client.Client, gateway: world_module.Gateway
     ) -> bool:
-        """Sends one request; returns whether the connection is still good."""
+        """Sends a request; returns whether the connection is reusable."""
         self._sent += 1
         kind = self._rng.choice(["get", "once", "gen", "live", "version"])
         request = f"{kind}-{self._name}-{self._sent}"
@@ -122,7 +123,7 @@
         if not 200 <= answer.status < 300 or not answer.is_whole:
             return
         if answer.headers.get("wayslip-server-seal") != platform_engine.SEAL:
-            self._oracle.report_violation(f"MIXED {request} without a seal")
+            self._oracle.report_violation(f"MIXED {request} without the seal")
         expected = f"whole {request}".encode()
         if kind in ("gen", "live"):
             expected = endpoints.format_stream(request)
@@ -149,14 +150,16 @@
             self._tally.newest_served[key] = max(newest, version)
         elif answer.status == 404 and version <= newest:
             self._oracle.report_violation(
-                f"CONFIG {gateway.name} went back before {version}"
+                f"CONFIG {gateway.name} fell back below {version}"
             )
 
 
 def check_runs(world: world_module.World, tally: Tally) -> None:
-    """Checks at the end what was run how often."""
+    """Checks how often requests ran, after all clients have stopped."""
     for request, runs in world.oracle.runs.items():
         if runs > 1 and request.startswith(_AT_MOST_ONCE_PREFIXES):
             world.oracle.report_violation(f"TWICE {request} ran {runs} times")
         if request in tally.reported_not_run:
-            world.oracle.report_violation(f"REFUSED {request} has run")
+            world.oracle.report_violation(
+                f"REFUSED {request} ran but was reported as not run"
+            )
--- a/soak/endpoints.py
+++ b/soak/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that check what they are asked and ordered."""
+"""Endpoints that check the requests and orders they receive."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 from standins import platform_site
 
 LEASE_SECONDS = 1.0
-# A body that begins so ends the endpoint that begins to run it.
+# A request whose body begins with this crashes the endpoint that runs it.
 POISON = b"deadly"
-# The pool's memory and places for adapters, as the manifest says.
+# The pool's memory and adapter slots in the manifest.
 _POOL = platform_site.manifest()["services"][1]["engine"]
 _EVENT_COUNT = 12
 _EVENT_INTERVAL_SECONDS = 0.03
@@ -21,24 +21,24 @@
 
 @dataclasses.dataclass
 class Oracle:
-    """What endpoints saw, and what was broken.
+    """Records executions and violations.
 
     Attributes:
-        runs: How often each request was run.
-        violations: One line each.
+        runs: Number of executions by request id.
+        violations: Violated rules, one line each.
     """
 
     runs: dict[str, int] = dataclasses.field(default_factory=dict)
     violations: list[str] = dataclasses.field(default_factory=list)
 
     def report_violation(self, text: str) -> None:
-        """Notes a violation."""
+        """Records and prints a violation."""
         self.violations.append(text)
         print(f"VIOLATION {text}", flush=True)
 
 
 class Endpoint(platform_engine.PlatformEngine):
-    """A stand-in that checks what it is asked and ordered."""
+    """A stand-in that reports executions and violations to an oracle."""
 
     def attach_oracle(
         self,
@@ -46,11 +46,11 @@
         service: str,
         on_crash: Callable[["Endpoint", bytes], None],
     ) -> None:
-        """Has it note what it sees in a ledger.
+        """Attaches the endpoint to an oracle; called before `start`.
 
         Args:
-            oracle: Where it notes that.
-            service: That it belongs to.
+            oracle: Records executions and violations.
+            service: The service that the endpoint belongs to.
             on_crash: Called with the endpoint and the body of the request
                 that crashes it.
         """
@@ -58,7 +58,7 @@
         self.service = service
         self.on_crash = on_crash
         self.announces_leaving = False
-        # Until when it turns requests away and asks for rest.
+        # Until when it refuses requests with Retry-After, monotonic seconds.
         self.backs_off_until = 0.0
         self.received_in_backoff = 0
         self.draining_since: float | None = None
@@ -96,9 +96,13 @@
         order = _decode(request.body)
         if order["holder"] != holder and holder:
             if now - at < LEASE_SECONDS:
-                self.oracle.report_violation(f"ONE two holders at {self.name}")
+                self.oracle.report_violation(
+                    f"ONE two lease holders at {self.name}"
+                )
             if order["fencing_token"] <= token:
-                self.oracle.report_violation(f"ONE token fell at {self.name}")
+                self.oracle.report_violation(
+                    f"ONE fencing token fell at {self.name}"
+                )
         self.last_order = (now, order["holder"], order["fencing_token"])
         await super()._take_order(request, connection)
         models = platform_site.MODEL_SPEC
@@ -110,7 +114,7 @@
             )
 
     def record_run(self, request: platform_engine.ReceivedRequest) -> None:
-        """Counts a run of a request."""
+        """Counts an execution of a request."""
         runs = self.oracle.runs
         runs[request.id] = runs.get(request.id, 0) + 1
 
@@ -167,7 +171,7 @@
 
 
 def format_stream(request_id: str) -> bytes:
-    """Returns all events of a whole stream."""
+    """Returns all events of a complete stream."""
     return b"".join(
         f"id: {n}\ndata: {request_id}\n\n".encode()
         for n in range(1, _EVENT_COUNT + 1)
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults by name; each runs from its start to its end."""
+"""Faults by name; each function returns when its fault is over."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -18,7 +18,7 @@
 
 
 def register(fault: Fault) -> Fault:
-    """Adds a fault under its function's name."""
+    """Registers a fault under its function's name."""
     FAULTS[fault.__name__] = fault
     return fault
 
@@ -31,7 +31,7 @@
 
 @register
 async def kill(world: world_module.World, rng: random.Random) -> None:
-    """A gateway is killed and started again."""
+    """Kills a gateway, which `World.check_processes` restarts."""
     gateway = _pick_gateway(world, rng)
     if gateway.is_up:
         gateway.send(signal.SIGKILL)
@@ -40,7 +40,7 @@
 
 @register
 async def kill_all(world: world_module.World, rng: random.Random) -> None:
-    """All gateways are killed at once."""
+    """Kills all gateways at once."""
     for gateway in world.gateways:
         if gateway.is_up:
             gateway.send(signal.SIGKILL)
@@ -49,7 +49,7 @@
 
 @register
 async def terminate(world: world_module.World, rng: random.Random) -> None:
-    """A gateway is asked to stop, in time or with another signal on top."""
+    """Sends a gateway SIGTERM, sometimes followed by another signal."""
     gateway = _pick_gateway(world, rng)
     if not gateway.is_up or gateway.is_stopping or gateway.is_paused:
         return
@@ -59,20 +59,21 @@
     gateway.send(signal.SIGTERM)
     if rng.random() < 0.3:
         await asyncio.sleep(rng.uniform(0, 1))
-        # Another fault may have killed it meanwhile; its successor stays.
+        # Another fault may have killed it by now; the new process must not
+        # get the signal.
         process.send_signal(rng.choice([signal.SIGTERM, signal.SIGHUP]))
     waited = 0.0
     while process.poll() is None and waited < world_module.GRACE_SECONDS * 3:
         await asyncio.sleep(0.1)
         waited += 0.1
     if process.poll() is None and not gateway.is_paused:
-        world.oracle.report_violation(f"LOST {gateway.name} does not stop")
+        world.oracle.report_violation(f"LOST {gateway.name} did not stop")
         process.kill()
 
 
 @register
 async def pause(world: world_module.World, rng: random.Random) -> None:
-    """A gateway stands still for a while."""
+    """Suspends a gateway for 0.2 to 4 s."""
     gateway = _pick_gateway(world, rng)
     if not gateway.is_up or gateway.is_paused:
         return
@@ -87,7 +88,7 @@
 
 @register
 async def reload(world: world_module.World, rng: random.Random) -> None:
-    """A gateway is told that its settings changed, some times."""
+    """Sends a gateway SIGHUP one to four times, to reload its settings."""
     gateway = _pick_gateway(world, rng)
     for _ in range(rng.randint(1, 4)):
         if gateway.is_up:
@@ -97,13 +98,13 @@
 
 @register
 async def harm_store(world: world_module.World, rng: random.Random) -> None:
-    """The way from one gateway to the store is harmed."""
+    """Disrupts the connections from one gateway to the store."""
     await _disrupt_link(_pick_gateway(world, rng).store_proxy, rng)
 
 
 @register
 async def harm_endpoint(world: world_module.World, rng: random.Random) -> None:
-    """The ways to one endpoint are harmed."""
+    """Disrupts the connections to one endpoint."""
     name = rng.choice(sorted(world.endpoints))
     await _disrupt_link(world.proxies[name], rng)
 
@@ -117,7 +118,7 @@
 
 @register
 async def stop_store(world: world_module.World, rng: random.Random) -> None:
-    """The store refuses or is silent; some entries lapse meanwhile."""
+    """Lets the store refuse or hold calls; an endpoint entry may expire."""
     faults = world.store.faults
     is_silent = rng.random() < 0.5
     faults.is_silent, faults.is_down = is_silent, not is_silent
@@ -135,7 +136,7 @@
 
 @register
 async def return_store(world: world_module.World, rng: random.Random) -> None:
-    """The store comes back from a copy; others write again what it lost."""
+    """Restores the store from a backup; others write lost objects again."""
     store = world.store
     store.keep_backup()
     await asyncio.sleep(rng.uniform(0.3, 3.0))
@@ -156,7 +157,7 @@
 
 @register
 async def lose_writes(world: world_module.World, rng: random.Random) -> None:
-    """Writes are done and not answered."""
+    """Lets the store apply writes without answering them."""
     world.store.faults.loses_writes = rng.randint(1, 4)
     await asyncio.sleep(1.0)
     world.store.faults.loses_writes = 0
@@ -164,7 +165,7 @@
 
 @register
 async def forget_history(world: world_module.World, rng: random.Random) -> None:
-    """The store forgets what happened."""
+    """Lets the store drop its history, so that watches expire."""
     world.store.forget_history()
 
 
@@ -172,7 +173,7 @@
 async def change_manifest(
     world: world_module.World, rng: random.Random
 ) -> None:
-    """Configurations come in quick succession."""
+    """Writes one to four configurations in quick succession."""
     for _ in range(rng.randint(1, 4)):
         world.put_manifest()
         await asyncio.sleep(rng.uniform(0, 0.5))
@@ -180,7 +181,7 @@
 
 @register
 async def crash_endpoint(world: world_module.World, rng: random.Random) -> None:
-    """An endpoint crashes; another one starts, perhaps at its address."""
+    """Crashes an endpoint; starts another one, perhaps at its address."""
     endpoint = rng.choice(list(world.endpoints.values()))
     if endpoint.draining_since is not None:
         return
@@ -195,7 +196,7 @@
 async def replace_endpoint(
     world: world_module.World, rng: random.Random
 ) -> None:
-    """An endpoint drains and leaves; another one was started before."""
+    """Starts a new endpoint, then drains and stops an old one."""
     endpoint = rng.choice(list(world.endpoints.values()))
     if endpoint.draining_since is not None:
         return
@@ -203,14 +204,14 @@
     await world.drain_endpoint(endpoint, rng.uniform(1.0, 4.0))
 
 
-# Ends under one request where nothing else happens; a gateway that starts
-# meanwhile may have lost what it knew.
+# Maximum number of endpoints that one request may crash. Each gateway restart
+# adds one, because a new process may not know about earlier crashes.
 _MAX_CRASHES = 3
 _POISON_REQUESTS = 8
 _BACKOFF_SECONDS = 2.0
-# What was under way when the rest was asked for still comes, seconds.
+# Requests in flight when the back-off begins may still arrive for this long.
 _IN_FLIGHT_SECONDS = 0.5
-# Of each gateway, in a time of rest.
+# Maximum number of requests per gateway during one back-off.
 _REQUESTS_PER_BACKOFF = 2
 
 
@@ -218,7 +219,7 @@
 async def send_deadly_request(
     world: world_module.World, rng: random.Random
 ) -> None:
-    """A request that ends endpoints comes again and again, at any gateway."""
+    """Sends a request that crashes endpoints repeatedly to any gateway."""
     body = endpoints.POISON + b"%d" % rng.randrange(1_000_000)
     gateway_starts = world.gateway_starts
     for number in range(_POISON_REQUESTS):
@@ -253,7 +254,7 @@
 
 @register
 async def ask_for_rest(world: world_module.World, rng: random.Random) -> None:
-    """An endpoint turns requests away and asks for rest."""
+    """Lets an endpoint refuse requests and ask for back-off."""
     endpoint = rng.choice(list(world.endpoints.values()))
     gateway_starts = world.gateway_starts
     endpoint.backs_off_until = time.monotonic() + _BACKOFF_SECONDS
@@ -261,7 +262,7 @@
     before = endpoint.received_in_backoff
     await asyncio.sleep(_BACKOFF_SECONDS - _IN_FLIGHT_SECONDS)
     received = endpoint.received_in_backoff - before
-    # A gateway learns of it from the first request that is turned away.
+    # A gateway learns of the back-off from its first refused request.
     allowed = len(world.gateways) * (_REQUESTS_PER_BACKOFF + 1)
     if (
         received
@@ -269,21 +270,22 @@
         + (world.gateway_starts - gateway_starts) * _REQUESTS_PER_BACKOFF
     ):
         world.oracle.report_violation(
-            f"BUDGET {endpoint.name} got {received} at rest"
+            f"BUDGET {endpoint.name} got {received} in back-off"
         )
 
 
-# Of the platform's rule on limits, seconds.
+# The platform's rule on limits: gateways must learn an announced limit within
+# the first time. After that, the limit holds in each window.
 _LIMIT_ANNOUNCE_SECONDS = 3.0
 _LIMIT_WINDOW_SECONDS = 4.0
 _LIMIT_CHECK_SECONDS = 7.0
-# Sent by a gateway that has started anew before it hears of a limit.
+# Maximum calls by a restarted gateway before it learns the limit.
 _REQUESTS_BEFORE_LIMIT_KNOWN = 6
 
 
 @register
 async def name_limit(world: world_module.World, rng: random.Random) -> None:
-    """An endpoint names how much it takes from all gateways together."""
+    """Lets an endpoint announce its rate limit for all gateways."""
     endpoint = rng.choice(list(world.endpoints.values()))
     if endpoint.limit is not None:
         return
@@ -313,7 +315,7 @@
 async def leave_by_answers(
     world: world_module.World, rng: random.Random
 ) -> None:
-    """An endpoint says in its answers alone that it leaves, then ends."""
+    """Lets an endpoint announce only in answers that it leaves, then stop."""
     endpoint = rng.choice(list(world.endpoints.values()))
     if endpoint.draining_since is not None:
         return
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback TCP proxy that harms what passes through it."""
+"""A loopback TCP proxy that injects faults into connections."""
 
 import asyncio
 import contextlib
@@ -8,15 +8,17 @@
 
 
 class LinkFault(enum.Enum):
-    """What happens to bytes and connections.
+    """What the proxy does to bytes and connections.
+
+    Stalled bytes are forwarded once the fault is over.
 
     Attributes:
-        NONE: Everything passes.
-        DELAY: Every piece waits a while.
-        RESET: Connections, also new ones, are reset.
-        SILENT: Nothing passes, and nothing is closed.
-        DEAF: Nothing passes to the server; its bytes still come.
-        MUTE: Nothing comes from the server; bytes still pass to it.
+        NONE: Forwards everything.
+        DELAY: Forwards each chunk after `Proxy.delay` seconds.
+        RESET: Resets all connections, also new ones.
+        STALL: Stalls bytes in both directions; connections stay open.
+        STALL_TO_SERVER: Stalls only bytes to the server.
+        STALL_FROM_SERVER: Stalls only bytes from the server.
     """
 
     NONE = "none"
@@ -28,7 +30,12 @@
 
 
 class Proxy:
-    """Passes connections on to one address."""
+    """Forwards connections to one address.
+
+    Attributes:
+        fault: The fault that is injected.
+        delay: Seconds that `LinkFault.DELAY` delays each chunk.
+    """
 
     def __init__(self, target: str) -> None:
         host, _, port = target.rpartition(":")
@@ -41,12 +48,12 @@
         self.delay = 0.2
 
     async def start(self) -> str:
-        """Listens; returns the address."""
+        """Starts to listen; returns the address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         return f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
 
     def set_fault(self, fault: LinkFault) -> None:
-        """Changes what happens to connections, open ones too."""
+        """Injects a fault into all connections, including open ones."""
         self.fault = fault
         if fault is LinkFault.RESET:
             for writer in list(self._writers):
@@ -61,14 +68,14 @@
             self._not_stalled.set()
 
     def retarget(self, target: str) -> None:
-        """Passes connections on to another address; open ones are reset."""
+        """Forwards new connections to another address; resets open ones."""
         host, _, port = target.rpartition(":")
         self._target = (host, int(port))
         for writer in list(self._writers):
             writer.transport.abort()
 
     def close(self) -> None:
-        """Ends everything."""
+        """Stops listening and resets all connections."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
--- a/soak/world.py
+++ b/soak/world.py
@@ -1,8 +1,8 @@
-"""What the soak runs: gateways as processes, store and endpoints around them.
+"""The system under soak: gateway processes, a store and endpoints.
 
-The store and the endpoints are the project's stand-ins, in the soak's own
-process, so that its oracles see every request and order that arrives. What
-the gateways exchange with them passes proxies that can harm it.
+The store and the endpoints are the project's stand-ins and run in the soak's
+own process, so that its oracle sees every request and order that arrives. The
+gateways reach them through proxies that inject faults.
 """
 
 import asyncio
@@ -24,14 +24,14 @@
 
 GRACE_SECONDS = 4.0
 _HEARTBEAT_SECONDS = 0.3
-# Second number of the gateways' loopback addresses; the third one tells soaks
-# that run at the same time apart.
+# Second octet of the gateways' loopback addresses. The third one distinguishes
+# soaks that run at the same time.
 _NET_OCTET = 77
 
 
 @dataclasses.dataclass
 class Gateway:
-    """A gateway's process and what is between it and the store."""
+    """A gateway's process and its proxy to the store."""
 
     name: str
     settings: pathlib.Path
@@ -56,27 +56,27 @@
         self.is_stopping = self.is_paused = False
 
     def send(self, number: signal.Signals) -> None:
-        """Sends the process a signal."""
+        """Sends a signal to the process."""
         assert self.process is not None
         self.process.send_signal(number)
 
     @property
     def is_up(self) -> bool:
-        """Whether the process lives."""
+        """Whether the process is running."""
         return self.process is not None and self.process.poll() is None
 
 
 class World:
-    """All of it. Used on the event loop only."""
+    """The whole system. Used on the event loop only."""
 
     def __init__(self, folder: pathlib.Path, gateways: int) -> None:
         self.folder = folder
         self.oracle = endpoints.Oracle()
         self.store = platform_store.PlatformStore()
         self.version = 1
-        # Endpoints that ended under a request, by its body; gateways that were
-        # started.
+        # Number of endpoints crashed by a request, by the request's body.
         self.poison_crashes: collections.Counter[bytes] = collections.Counter()
+        # Number of restarts of gateways, without their first starts.
         self.gateway_starts = 0
         self.endpoints: dict[str, endpoints.Endpoint] = {}
         self.proxies: dict[str, proxy_module.Proxy] = {}
@@ -86,7 +86,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Starts everything."""
+        """Starts the store, the endpoints and the gateways."""
         address = await self.store.start()
         self.put_manifest()
         for service, count in (("plain", 3), ("models", 3)):
@@ -99,7 +99,7 @@
         self._tasks.append(asyncio.create_task(self._sync_entries()))
 
     async def stop(self) -> None:
-        """Ends every process that was started, and all sockets."""
+        """Kills all gateways and closes all sockets."""
         for task in self._tasks:
             task.cancel()
         for gateway in self.gateways:
@@ -116,7 +116,7 @@
         self.store.stop()
 
     def put_manifest(self) -> None:
-        """Writes the next version, with a route of its own."""
+        """Writes the next configuration version, which adds a route."""
         manifest = platform_site.manifest(self.version)
         for known in range(2, self.version + 1):
             manifest["routes"].append(
@@ -130,7 +130,7 @@
     # Endpoints
 
     async def add_endpoint(self, service: str) -> endpoints.Endpoint:
-        """Starts an endpoint at an address of its own."""
+        """Starts an endpoint behind a new proxy and lists it."""
         endpoint, own_address = await self._start_endpoint(service)
         proxy = proxy_module.Proxy(own_address)
         self.proxies[endpoint.name] = proxy
@@ -140,9 +140,10 @@
     async def crash_and_reuse_address(
         self, crashed: endpoints.Endpoint
     ) -> None:
-        """Has an endpoint crash and another one start at its address.
+        """Crashes an endpoint and starts another one at its address.
 
-        The entry of the first one stays for a while, as without heartbeats.
+        The entry of the crashed one stays for 1 s, as until its heartbeats are
+        found missing.
         """
         item = self.store.objects["servers"].get(crashed.name)
         if item is None or crashed.name not in self.endpoints:
@@ -165,7 +166,7 @@
     def _replace_crashed(
         self, endpoint: endpoints.Endpoint, body: bytes
     ) -> None:
-        """Ends an endpoint under a request, and has another one start."""
+        """Crashes an endpoint on a request and starts another one."""
         if endpoint.name not in self.endpoints:
             return
         self.poison_crashes[body] += 1
@@ -197,7 +198,13 @@
     async def end_endpoint(
         self, endpoint: endpoints.Endpoint, removes_entry_at_once: bool
     ) -> None:
-        """Ends an endpoint at once; its entry may stay for a while."""
+        """Stops an endpoint at once.
+
+        Args:
+            endpoint: The endpoint.
+            removes_entry_at_once: Whether its entry is removed without a delay
+                of 1 s.
+        """
         if endpoint.name not in self.endpoints:
             return
         self.proxies[endpoint.name].set_fault(proxy_module.LinkFault.RESET)
@@ -212,9 +219,9 @@
     async def drain_endpoint(
         self, endpoint: endpoints.Endpoint, seconds: float
     ) -> None:
-        """Has an endpoint say that it leaves, then ends it."""
+        """Lists an endpoint as draining, then stops it after some seconds."""
         if endpoint.name not in self.store.objects["servers"]:
-            # It crashed, or lapsed in an outage of the store.
+            # It crashed, or its entry expired during a store outage.
             return
         spec = self.store.objects["servers"][endpoint.name]["spec"]
         spec = {**spec, "state": "draining"}
@@ -224,7 +231,7 @@
         await self.end_endpoint(endpoint, True)
 
     async def _sync_entries(self) -> None:
-        """Lets entries follow what endpoints hold, as heartbeats do."""
+        """Updates the models in endpoint entries, as heartbeats do."""
         while True:
             await asyncio.sleep(_HEARTBEAT_SECONDS)
             if self.store.faults.is_down or self.store.faults.is_silent:
@@ -244,8 +251,8 @@
     async def _add_gateway(self, name: str, store: str) -> None:
         proxy = proxy_module.Proxy(store)
         address = await proxy.start()
-        # An address of its own, so that no connection takes its ports while
-        # the process is away.
+        # Each gateway has an IP address of its own, so that no other connection
+        # takes its ports while the process is restarting.
         ip = f"127.{_NET_OCTET}.{os.getpid() % 250}.{len(self.gateways) + 1}"
         callers, ready, port = f"{ip}:8149", f"{ip}:8141", 7380
         settings = self.folder / f"{name}.toml"
@@ -263,7 +270,7 @@
         self.gateways.append(Gateway(name, settings, callers, proxy, log))
 
     def check_processes(self) -> None:
-        """Notes processes that ended by themselves, and starts them again."""
+        """Restarts ended gateways; reports those that ended unexpectedly."""
         for gateway in self.gateways:
             if gateway.is_up:
                 continue
@@ -271,7 +278,8 @@
             code = gateway.process.returncode
             expected = {-signal.SIGKILL}
             if gateway.is_stopping:
-                # A process that is still loading has nothing to finish.
+                # A process that is still starting may have no handler for
+                # SIGTERM yet, and has nothing to finish.
                 expected |= {0, -signal.SIGTERM}
             if code not in expected:
                 self.oracle.report_violation(f"EXIT {gateway.name} code {code}")
@@ -283,7 +291,7 @@
 async def run_world(
     folder: pathlib.Path, gateways: int
 ) -> AsyncIterator[World]:
-    """Starts a world and ends it whatever happens."""
+    """Starts a world and stops it on exit, also after errors."""
     world = World(folder, gateways)
     try:
         await world.start()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: deterministic hypothesis and whole systems in-process."""
+"""Shared fixtures: deterministic hypothesis and in-process systems."""
 
 import pathlib
 
@@ -29,7 +29,7 @@
 
 
 def _read_known_red():
-    """Returns the causes of the tests that are known to fail, by their ids."""
+    """Returns the causes of known test failures, by test id."""
     if not _KNOWN_RED.exists():
         return {}
     lines = _KNOWN_RED.read_text(encoding="utf-8").splitlines()
@@ -38,10 +38,10 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Lets a run pass over the tests of KNOWN-RED.txt, and only those."""
+    """Marks the tests in KNOWN-RED.txt, and only those, as xfail."""
     known = _read_known_red()
     for item in items:
-        # A line may name a test with all its parameters.
+        # A line without parameters applies to all parameters of a test.
         cause = known.get(item.nodeid) or known.get(
             item.nodeid.partition("[")[0]
         )
@@ -50,6 +50,6 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Prints the tests that are passed over."""
+    """Prints the tests in KNOWN-RED.txt."""
     for test, cause in _read_known_red().items():
         terminalreporter.write_line(f"known red: {test}: {cause}")
--- a/tests/system.py
+++ b/tests/system.py
@@ -1,4 +1,4 @@
-"""A whole system in one process: stand-ins and daemons on loopback."""
+"""A complete system in one process: stand-ins and daemons on loopback."""
 
 import http.client
 import json
@@ -70,16 +70,16 @@
 
 
 def wait_until(condition, what="the condition"):
-    """Waits until a condition holds; fails loudly if it never does."""
+    """Waits until a condition holds; fails after WAIT_SECONDS."""
     limit = time.monotonic() + WAIT_SECONDS
     while not condition():
         if time.monotonic() > limit:
-            raise AssertionError(f"never came true: {what}")
+            raise AssertionError(f"timed out waiting for {what}")
         time.sleep(0.01)
 
 
 class Reply:
-    """A whole answer to a test's call."""
+    """A complete answer to a test's call."""
 
     def __init__(self, response, body):
         self.status = response.status
@@ -96,7 +96,7 @@
 
 
 def call(address, method, path, body=None, key=ALICE, **headers):
-    """Makes one HTTP call and returns its whole answer."""
+    """Makes one HTTP call and returns its complete answer."""
     host, port = addresses.split_address(address)
     conn = http.client.HTTPConnection(host, port, timeout=WAIT_SECONDS)
     names = {k.replace("_", "-"): v for k, v in headers.items()}
@@ -140,7 +140,7 @@
 
     def _parse_event(self, lines):
         fields = dict(line.split(": ", 1) for line in lines)
-        # Two data lines would be two events run into one.
+        # A repeated field would mean that two events were merged into one.
         assert len(fields) == len(lines), lines
         self.last_id = fields.get("id", self.last_id)
         if fields["data"] == "[DONE]":
@@ -151,7 +151,7 @@
             self.text += json.loads(fields["data"])["choices"][0]["text"]
 
     def read_all(self):
-        """Reads to the end and returns itself."""
+        """Reads all events, closes the connection and returns itself."""
         while self.read_event():
             pass
         self.conn.close()
@@ -159,7 +159,7 @@
 
 
 class System:
-    """Stand-ins and instances; start and stop by `with`."""
+    """Stand-ins and instances; a `with` block stops them at its end."""
 
     def __init__(self, instances=2, engines=3, capacity=100, **options):
         self.objects = objects_standin.ObjectApi(token=TOKEN).start()
@@ -208,7 +208,7 @@
         self.objects.write("POST", "endpoints", "", body)
 
     def list_leaving(self, name):
-        """Has the platform's list call an endpoint leaving."""
+        """Marks an endpoint as leaving in the platform's list."""
         engine = self.engines.get(name) or self.services[name]
         role = "engine" if name in self.engines else "service"
         capacity = self._engine_options.capacity if role == "engine" else 0
@@ -288,19 +288,19 @@
             standin.stop()
         self.objects.stop()
 
-    # Short cuts
+    # Calls and checks
 
     def callers_port(self, n=0):
-        """Returns the callers' address of an entry."""
+        """Returns the address on which an entry serves callers."""
         return self.entries[n]._settings.entry.callers
 
     def operate(self, method, path, body=None, n=0, key=OPERATOR):
-        """Makes an operator's call at a control."""
+        """Makes an operator's call to a control."""
         address = self.controls[n]._settings.control.operators
         return call(address, method, path, body, key=key)
 
     def apply(self, intent=INTENT):
-        """Applies an intent, confirms the plan and waits until it is done."""
+        """Proposes an intent, confirms the plan and waits until it is done."""
         proposed = self.operate("POST", "/v1/plans", intent.encode())
         assert proposed.status == 200, proposed.body
         plan = proposed.json["id"]
@@ -335,7 +335,7 @@
         return True
 
     def complete(self, n=0, **body):
-        """Asks for a whole completion."""
+        """Requests a completion in one answer."""
         value = {
             "model": "m",
             "prompt": "12 Salt Lake",
@@ -345,7 +345,7 @@
         return call(self.callers_port(n), "POST", "/v1/completions", value)
 
     def stream(self, n=0, key=ALICE, headers=None, **body):
-        """Asks for a stream."""
+        """Requests a completion as a stream."""
         value = {
             "model": "m",
             "prompt": "12 Salt Lake",
@@ -368,11 +368,11 @@
         )
 
     def runs(self, run_id):
-        """Returns how often a request truly ran."""
+        """Returns how often the services executed a request."""
         return sum(s.runs[run_id] for s in self.services.values())
 
     def ledgers(self):
-        """Returns the ledgers in the object API."""
+        """Returns the ledgers in the object API, by name."""
         _, listing = self.objects.read("ledgers", "")
         return {
             raw["metadata"]["name"]: kinds.LEDGER.parse(raw["spec"])
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak itself: a short seeded run, and the proxy's harms."""
+"""Tests of the soak: short seeded runs, and the faults of its proxy."""
 
 import asyncio
 import os
@@ -11,10 +11,10 @@
 from soak import proxy as proxy_module
 
 ROOT = pathlib.Path(__file__).parent.parent
-# Seeds that broke something once, with the cause.
+# Seeds, with the fault that they once found.
 SEEDS = [
-    7,  # none; the run of every CI
-    102,  # a SIGHUP while a gateway loaded its libraries ended it
+    7,  # none; the default run
+    102,  # SIGHUP ended a gateway that was still importing its modules
 ]
 
 
