--- a/standins/objects.py
+++ b/standins/objects.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform's object API, with faults on request.
+"""Stand-in for the platform's object API, with fault injection.
 
-Keeps objects in memory with rising versions. `POST /standin/faults` sets the
-fields of `Faults`; each fault is drawn from a seeded source.
+Keeps objects in memory with increasing versions. `POST /standin/faults` sets
+the fields of `Faults`; a seeded random generator decides which calls fail.
 """
 
 import argparse
@@ -16,22 +16,23 @@
 from standins import web
 
 _PREFIX = "/apis/wayslip.io/v1/"
-_MAX_BYTES = 1_000_000
-_HISTORY = 1000
+_MAX_OBJECT_BYTES = 1_000_000
+_HISTORY_EVENTS = 1000
 
 
 @dataclasses.dataclass
 class Faults:
-    """What goes wrong; fractions are chances for each call.
+    """Injected faults; fractions are probabilities.
 
     Attributes:
-        down: Every call breaks off without an answer.
+        down: Whether every connection is closed without an answer.
         delay: Seconds before each answer.
-        lose: Writes that take effect and whose answer is lost.
-        stale: Reads that get an older version.
-        fail: Calls answered 503 with no effect.
-        skip: Events a watch leaves out.
-        cut_watches: Watches end at once; 2 makes them expire with 410.
+        lose: Fraction of the writes that take effect without an answer.
+        stale: Fraction of the reads of one object that return its previous
+            version.
+        fail: Fraction of the calls that are answered 503 and have no effect.
+        skip: Fraction of the events that a watch omits.
+        cut_watches: 1 closes watches at once, 2 makes them expire with 410.
     """
 
     down: bool = False
@@ -60,9 +61,9 @@
         self._rng = random.Random(seed)
         self._version = 0
         self._objects: dict[tuple[str, str], Any] = {}
-        self._older: dict[tuple[str, str], Any] = {}
+        self._previous: dict[tuple[str, str], Any] = {}
         self._events: collections.deque[tuple[int, str, str, Any]] = (
-            collections.deque(maxlen=_HISTORY)
+            collections.deque(maxlen=_HISTORY_EVENTS)
         )
         self._changed = threading.Condition()
 
@@ -109,7 +110,7 @@
     # Storage
 
     def read(self, plural: str, name: str) -> tuple[int, Any]:
-        """Returns status and body of a get or list."""
+        """Returns status and body of a get, or of a list without a name."""
         with self._changed:
             if not name:
                 items = [
@@ -119,7 +120,7 @@
                 return 200, {"items": items, "metadata": metadata}
             found = self._objects.get((plural, name))
             if found is not None and self._draw(self.faults.stale):
-                found = self._older.get((plural, name), found)
+                found = self._previous.get((plural, name), found)
         if found is None:
             return 404, {"code": 404}
         return 200, found
@@ -127,8 +128,8 @@
     def write(
         self, method: str, plural: str, name: str, body: Any
     ) -> tuple[int, Any]:
-        """Makes a conditional change; returns status and body."""
-        if body is not None and len(json.dumps(body)) > _MAX_BYTES:
+        """Applies a conditional write; returns status and body."""
+        if body is not None and len(json.dumps(body)) > _MAX_OBJECT_BYTES:
             return 413, {"code": 413}
         with self._changed:
             if method == "POST":
@@ -144,7 +145,7 @@
                     return 409, {"code": 409}
             self._version += 1
             if known is not None:
-                self._older[plural, name] = known
+                self._previous[plural, name] = known
             if method == "DELETE":
                 del self._objects[plural, name]
                 self._record("DELETED", plural, known)
@@ -164,9 +165,11 @@
 
     def _watch(self, handler: web.Handler, plural: str) -> None:
         since = int(handler.query.get("resourceVersion", "0"))
-        ends = time.monotonic() + float(handler.query.get("timeoutSeconds", 30))
+        deadline = time.monotonic() + float(
+            handler.query.get("timeoutSeconds", 30)
+        )
         handler.begin_chunks("application/json")
-        while time.monotonic() < ends and not self.faults.down:
+        while time.monotonic() < deadline and not self.faults.down:
             if self.faults.cut_watches == 1:
                 return handler.cut()
             with self._changed:
@@ -174,13 +177,13 @@
                 expired = since and first > since + 1
                 if expired or self.faults.cut_watches == 2:
                     return self._expire(handler)
-                fresh = [e for e in self._events if e[0] > since]
-                if not fresh:
+                new_events = [e for e in self._events if e[0] > since]
+                if not new_events:
                     self._changed.wait(0.25)
                     continue
-            since = fresh[-1][0]
-            for _, change, of, body in fresh:
-                if of == plural and not self._draw(self.faults.skip):
+            since = new_events[-1][0]
+            for _, change, event_plural, body in new_events:
+                if event_plural == plural and not self._draw(self.faults.skip):
                     event = {"type": change, "object": body}
                     handler.write_chunk(json.dumps(event).encode() + b"\n")
         if self.faults.down:
@@ -194,7 +197,7 @@
 
 
 def main() -> None:
-    """Runs the stand-in until it is ended."""
+    """Runs the stand-in until the process is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--token", default="")
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -1,7 +1,7 @@
-"""Stand-in for an endpoint of the platform, with scripted misbehaviour.
+"""Stand-in for an endpoint of the platform, with scripted faults.
 
-It reads whole requests from raw sockets and hands them to a script, which
-writes whatever it likes: a whole answer, half of one, two, or none.
+It reads complete requests from raw sockets and passes them to a script, which
+may write a complete answer, a partial one, several, or none.
 """
 
 import asyncio
@@ -16,8 +16,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Received:
-    """A request that an endpoint got."""
+class ReceivedRequest:
+    """A request that an endpoint received."""
 
     method: str
     target: str
@@ -30,18 +30,20 @@
         return self.headers.get("wayslip-request-id", "")
 
 
-Script = Callable[["PlatformEngine", Received, "Line"], Awaitable[None]]
+Script = Callable[
+    ["PlatformEngine", ReceivedRequest, "Connection"], Awaitable[None]
+]
 
 
-class Line:
-    """The connection that a request came on."""
+class Connection:
+    """The connection on which a request was received."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.reader = reader
         self.writer = writer
-        # Headers of every answer of the endpoint's own.
+        # Headers added to every answer that the endpoint itself sends.
         self.headers: dict[str, str] = {}
 
     async def write(self, data: bytes) -> None:
@@ -50,17 +52,17 @@
         await self.writer.drain()
 
     def reset(self) -> None:
-        """Breaks the connection off."""
+        """Resets the connection."""
         self.writer.transport.abort()
 
     async def answer(
         self,
-        request: Received,
+        request: ReceivedRequest,
         body: bytes = b"ok",
         status: int = 200,
         **headers: str,
     ) -> None:
-        """Writes a whole answer of the endpoint's own."""
+        """Writes a complete answer with the endpoint's headers."""
         named = {**self.headers, **headers}
         await self.write(format_answer(request.id, body, status, **named))
 
@@ -68,7 +70,7 @@
 def format_answer(
     request_id: str, body: bytes, status: int = 200, **headers: str
 ) -> bytes:
-    """Returns a whole answer as bytes."""
+    """Returns a complete answer as bytes; empty header values are omitted."""
     named = {
         "Wayslip-Request-Id": request_id,
         "Wayslip-Server-Seal": SEAL,
@@ -81,10 +83,10 @@
 
 
 async def answer_whole(
-    engine: "PlatformEngine", request: Received, line: Line
+    engine: "PlatformEngine", request: ReceivedRequest, connection: Connection
 ) -> None:
-    """The usual script: answers with the endpoint's name."""
-    await line.answer(request, engine.name.encode())
+    """The default script: answers with the endpoint's name."""
+    await connection.answer(request, engine.name.encode())
 
 
 @dataclasses.dataclass
@@ -92,25 +94,27 @@
     """The stand-in. Used on the event loop only.
 
     Attributes:
-        script: What it does with a request.
-        received: Requests that reached it, orders and reports left out.
-        orders: Bodies of the orders that it got.
-        order_status: What it answers to an order; 0 to carry it out and
-            say nothing.
-        taken: How many orders it has carried out.
-        report_lag: How old its reports are, seconds.
-        limit: Requests a second that its answers say it takes, None for none.
-        calls: When each request, order and report came, steady seconds.
-        left: How many connections were closed while a script ran.
+        script: Answers requests other than orders and reports.
+        received: Requests received, without orders and requests for reports.
+        orders: Bodies of the orders received.
+        order_status: Status of the answer to an order; 0 to apply the order
+            and reset the connection.
+        applied_orders: Number of orders applied.
+        report_lag: Age of the state that reports show, in seconds.
+        limit: Requests per second that its answers announce as its limit,
+            None to announce no limit.
+        calls: When each request, order and request for a report was
+            received, in monotonic seconds.
+        left: Number of connections that were closed while a script ran.
         is_ended: Whether it has crashed.
     """
 
     name: str
     script: Script = answer_whole
-    received: list[Received] = dataclasses.field(default_factory=list)
+    received: list[ReceivedRequest] = dataclasses.field(default_factory=list)
     orders: list[dict[str, Any]] = dataclasses.field(default_factory=list)
     order_status: int = 202
-    taken: int = 0
+    applied_orders: int = 0
     report_lag: float = 0.0
     limit: float | None = None
     calls: list[float] = dataclasses.field(default_factory=list)
@@ -123,7 +127,7 @@
     left: int = 0
     is_ended: bool = False
     _server: asyncio.Server | None = None
-    _lines: set[Line] = dataclasses.field(default_factory=set)
+    _open_connections: set[Connection] = dataclasses.field(default_factory=set)
 
     async def start(self) -> str:
         """Listens; returns the address."""
@@ -137,50 +141,52 @@
             self._server.close()
 
     def crash(self) -> None:
-        """Ends at once: breaks all connections off, refuses new ones."""
+        """Simulates a crash: resets all connections and refuses new ones."""
         self.is_ended = True
         self.stop()
-        for line in list(self._lines):
-            line.reset()
+        for connection in list(self._open_connections):
+            connection.reset()
 
     async def _serve(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.connections += 1
-        line = Line(reader, writer)
-        self._lines.add(line)
+        connection = Connection(reader, writer)
+        self._open_connections.add(connection)
         try:
             while True:
                 request = await _read_request(reader)
-                await self._respond(request, line)
+                await self._respond(request, connection)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
         finally:
-            self._lines.discard(line)
+            self._open_connections.discard(connection)
 
-    async def _respond(self, request: Received, line: Line) -> None:
+    async def _respond(
+        self, request: ReceivedRequest, connection: Connection
+    ) -> None:
         self.calls.append(time.monotonic())
-        line.headers = self.name_limit()
+        connection.headers = self.limit_headers()
         if request.target == "/wayslip/report":
-            report = json.dumps(self._find_old_report())
-            await line.answer(request, report.encode())
+            report = json.dumps(self._delayed_report())
+            await connection.answer(request, report.encode())
             return
         if request.target == "/wayslip/order":
-            await self._take_order(request, line)
+            await self._take_order(request, connection)
             return
         self.received.append(request)
         try:
-            await self.script(self, request, line)
+            await self.script(self, request, connection)
         except ConnectionError:
             self.left += 1
             raise
 
-    def name_limit(self) -> dict[str, str]:
-        """Returns the headers that name its limit."""
+    def limit_headers(self) -> dict[str, str]:
+        """Returns the headers that announce its limit."""
         return {} if self.limit is None else {"Server-Limit": str(self.limit)}
 
-    def _find_old_report(self) -> dict[str, Any]:
-        """Returns the report of as long ago as reports are old."""
+    def _delayed_report(self) -> dict[str, Any]:
+        """Returns the report as it was `report_lag` seconds ago."""
         limit = time.monotonic() - self.report_lag
         replaced = [r for at, r in self._reports if at > limit]
         return replaced[0] if replaced else self._report()
@@ -190,44 +196,51 @@
             {"name": name, "version": 1, "adapters": list(adapters)}
             for name, adapters in self.models.items()
         ]
-        return {"seq": self.taken, "busy": self.is_busy, "models": models}
-
-    async def _take_order(self, request: Received, line: Line) -> None:
+        return {
+            "seq": self.applied_orders,
+            "busy": self.is_busy,
+            "models": models,
+        }
+
+    async def _take_order(
+        self, request: ReceivedRequest, connection: Connection
+    ) -> None:
         order = json.loads(request.body)
         self.orders.append(order)
-        status = self._answer_uncounted(order)
+        status = self._answer_no_op(order)
         if status is not None:
-            await line.answer(request, b"{}", status)
+            await connection.answer(request, b"{}", status)
             return
         status = self.order_status
-        if order["expected_count"] != self.taken:
+        if order["expected_count"] != self.applied_orders:
             status = 409
         if status == 202 and order["operation"] == "unload":
-            # An adapter goes at once, a model after its runs.
+            # An adapter is unloaded at once (200), a model after its running
+            # requests (202).
             status = 200 if order.get("adapter") else 202
         if status in (200, 202, 0):
             self._reports.append((time.monotonic(), self._report()))
-            self.taken += 1
+            self.applied_orders += 1
             self._carry_out(order)
         if status == 0:
-            line.reset()
+            connection.reset()
             return
-        await line.answer(request, b"{}", status)
+        await connection.answer(request, b"{}", status)
 
-    def _answer_uncounted(self, order: dict[str, Any]) -> int | None:
-        """Returns the answer to an order that there is nothing to do for.
+    def _answer_no_op(self, order: dict[str, Any]) -> int | None:
+        """Returns the status for an order that changes nothing, else None.
 
-        As the platform's engines were seen to answer: whatever count it names,
-        and without counting it.
+        The platform's engines answer such orders whatever count they expect,
+        and don't count them.
         """
         adapter = order.get("adapter")
         held = self.models.get(order["model"])
-        is_there = held is not None and (not adapter or adapter in held)
+        is_loaded = held is not None and (not adapter or adapter in held)
         if order["operation"] == "unload":
-            return None if is_there else 200
+            return None if is_loaded else 200
         if held is None:
             return 421 if adapter else None
-        return 200 if is_there else None
+        return 200 if is_loaded else None
 
     def _carry_out(self, order: dict[str, Any]) -> None:
         model, adapter = order["model"], order.get("adapter")
@@ -241,7 +254,7 @@
             del self.models[model]
 
 
-async def _read_request(reader: asyncio.StreamReader) -> Received:
+async def _read_request(reader: asyncio.StreamReader) -> ReceivedRequest:
     head = await reader.readuntil(b"\r\n\r\n")
     first, *lines = head.decode("latin-1").strip().split("\r\n")
     method, target, _ = first.split(" ")
@@ -251,4 +264,4 @@
         headers[name.strip().lower()] = value.strip()
     length = int(headers.get("content-length", 0))
     body = await reader.readexactly(length)
-    return Received(method, target, headers, body)
+    return ReceivedRequest(method, target, headers, body)
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,7 +1,7 @@
-"""Stand-in for a plain service; it counts true executions by key.
+"""Stand-in for a plain service that counts executions by request id.
 
 `POST /run` executes once per call and is the oracle for "at most once" and
-"not run": `GET /standin/runs` tells how often each request id truly ran.
+"not run": `GET /standin/runs` returns how often each request id was executed.
 """
 
 import argparse
@@ -40,16 +40,16 @@
             return handler.reply(503, {"error": "leaving"}, X_Not_Started="1")
         return self._run(handler, path)
 
-    def _take(self, name: str) -> bool:
+    def _consume(self, name: str) -> bool:
         with self._lock:
-            left = getattr(self, name)
-            if left <= 0:
+            remaining = getattr(self, name)
+            if remaining <= 0:
                 return False
-            setattr(self, name, left - 1)
+            setattr(self, name, remaining - 1)
             return True
 
     def _run(self, handler: web.Handler, path: str) -> None:
-        if self._take("cut_before"):
+        if self._consume("cut_before"):
             return handler.cut()
         try:
             body: Any = json.loads(handler.body or b"{}")
@@ -61,14 +61,14 @@
                 self.runs[run_id] += 1
         if self.delay:
             time.sleep(self.delay)
-        if self._take("cut_after"):
+        if self._consume("cut_after"):
             return handler.cut()
         answer = {"ran": run_id, "path": path, "times": self.runs[run_id]}
         return handler.reply(200, answer)
 
 
 def main() -> None:
-    """Runs the stand-in until it is ended."""
+    """Runs the stand-in until the process is stopped."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--port", type=int, required=True)
     parser.add_argument("--delay", type=float, default=0.0)
