--- a/src/wayslip/endpoints/service.py
+++ b/src/wayslip/endpoints/service.py
@@ -20,7 +20,7 @@
     is_not_started: bool
 
 
-def ask_state(address: str, timeout: float) -> bool:
+def check_serving(address: str, timeout: float) -> bool:
     """Returns whether a service says that it serves.
 
     Raises:
--- a/src/wayslip/entry/choosing.py
+++ b/src/wayslip/entry/choosing.py
@@ -21,9 +21,9 @@
 # Reports that are waited for once an engine lacks what its last one showed: the
 # next one may have been asked for before, so the one after it; and how late
 # they may come on a busy machine, seconds.
-_REPORTS_AWAITED = 2
+_MAX_AWAITED_REPORTS = 2
 _REPORT_SLACK_SECONDS = 0.5
-_LOOK_SECONDS = 0.02
+_RECHECK_SECONDS = 0.02
 
 
 @dataclasses.dataclass(frozen=True)
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Try:
+class FailedAttempt:
     """An attempt that failed: at which engine, under which model's name."""
 
     endpoint: str
@@ -83,7 +83,7 @@
         self._rng = random.Random()
 
     def choose(
-        self, job: Job, tried: frozenset[Try]
+        self, job: Job, tried: frozenset[FailedAttempt]
     ) -> Chosen | refusals.Refusal:
         """Returns where a job goes next.
 
@@ -97,19 +97,19 @@
             The choice, or why the job is refused. Reports that show who holds
             its model now are waited for first where they are due.
         """
-        polls = _REPORTS_AWAITED * self._settings.routing.poll_seconds
+        polls = _MAX_AWAITED_REPORTS * self._settings.routing.poll_seconds
         limit = clock.now() + polls + _REPORT_SLACK_SECONDS
         found = self._choose_now(job, tried)
         while isinstance(found, refusals.Refusal):
             is_over = clock.now() >= min(limit, job.deadline)
             is_missing = found.reason is refusals.Reason.NOT_LOADED
-            if is_over or not is_missing or not self._is_news_due(job, tried):
+            if is_over or not is_missing or not self._is_report_due(job, tried):
                 break
-            time.sleep(_LOOK_SECONDS)
+            time.sleep(_RECHECK_SECONDS)
             found = self._choose_now(job, tried)
         return found
 
-    def _is_news_due(self, job: Job, tried: frozenset[Try]) -> bool:
+    def _is_report_due(self, job: Job, tried: frozenset[FailedAttempt]) -> bool:
         """Whether new reports may show who holds a job's model now.
 
         An engine that lacked a model's old version may hold the new one: the
@@ -122,7 +122,7 @@
         ) or self._view.is_report_due(job.target.engines)
 
     def _choose_now(
-        self, job: Job, tried: frozenset[Try]
+        self, job: Job, tried: frozenset[FailedAttempt]
     ) -> Chosen | refusals.Refusal:
         items, engine_model = view_module.resolve_items(self._view, job.target)
         blocks = routing.hash_blocks(engine_model, job.text)
@@ -130,11 +130,11 @@
         prompt = view_module.Prompt(
             routing.count_tokens(job.text), blocks, rank
         )
-        besides = frozenset(
+        excluded = frozenset(
             t.endpoint for t in tried if t.engine_model == engine_model
         )
         found = self._view.candidates(
-            job.target.engines, items, prompt, besides
+            job.target.engines, items, prompt, excluded
         )
         if not found:
             return refusals.Refusal(
--- a/src/wayslip/entry/completions.py
+++ b/src/wayslip/entry/completions.py
@@ -29,7 +29,7 @@
 from wayslip.peers import node as node_module
 
 _LOG = logging.getLogger(__name__)
-_TELL_SECONDS = 1.0
+_NOTIFY_SECONDS = 1.0
 _RESUME_SECONDS = 5.0
 _STREAM_HEADERS = {
     "Content-Type": "text/event-stream",
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Sent:
+class EngineResponse:
     """An engine's answer, its head read, and where it comes from."""
 
     endpoint: str
@@ -138,26 +138,26 @@
             return answers.answer_refusal(_refuse_streams())
         self._in_flight.begin(job.caller.name)
         try:
-            sent = self._send(job)
-            if isinstance(sent, web.Answer):
-                return sent
-            if sent.upstream.is_stream:
-                self._hand_over(request, job, sent)
+            response = self._send(job)
+            if isinstance(response, web.Answer):
+                return response
+            if response.upstream.is_stream:
+                self._hand_over(request, job, response)
                 return None
-            return self._read_whole(job, sent)
+            return self._read_buffered(job, response)
         finally:
             if not request.is_detached:
                 self._in_flight.end(job.caller.name)
 
-    def run_whole(self, job: choosing.Job) -> web.Answer:
+    def run_buffered(self, job: choosing.Job) -> web.Answer:
         """Returns the whole answer of a job that is not a stream."""
         with self._in_flight.counted(job.caller.name):
-            sent = self._send(job)
-            if isinstance(sent, web.Answer):
-                return sent
-            return self._read_whole(job, sent)
+            response = self._send(job)
+            if isinstance(response, web.Answer):
+                return response
+            return self._read_buffered(job, response)
 
-    def _send(self, job: choosing.Job) -> Sent | web.Answer:
+    def _send(self, job: choosing.Job) -> EngineResponse | web.Answer:
         """Tries endpoints until one answers or the verdict is final."""
         tries = attempts.Attempts(
             self._in_flight,
@@ -166,15 +166,17 @@
             job.may_repeat,
             job.deadline,
         )
-        tried: frozenset[choosing.Try] = frozenset()
+        tried: frozenset[choosing.FailedAttempt] = frozenset()
         while True:
             chosen = self._chooser.choose(job, tried)
             if isinstance(chosen, refusals.Refusal):
                 return self._answer_refused(chosen, tries.may_have_run)
             result = self._attempt(job, chosen)
-            if isinstance(result, Sent):
+            if isinstance(result, EngineResponse):
                 return result
-            tried |= {choosing.Try(chosen.choice.name, chosen.engine_model)}
+            tried |= {
+                choosing.FailedAttempt(chosen.choice.name, chosen.engine_model)
+            }
             verdict = tries.fail(result)
             if verdict is not retry.Verdict.RETRY:
                 return self._answer_verdict(verdict)
@@ -206,7 +208,7 @@
 
     def _attempt(
         self, job: choosing.Job, chosen: choosing.Chosen
-    ) -> Sent | retry.Failure:
+    ) -> EngineResponse | retry.Failure:
         name = chosen.choice.name
         address = self._view.address(name)
         if address is None:
@@ -218,7 +220,7 @@
         timeout = max(job.deadline - clock.now(), 0.001)
         self._view.begin(name, chosen.prompt)
         result = self._begin(chosen, address, job, body, request_id, timeout)
-        if not isinstance(result, Sent):
+        if not isinstance(result, EngineResponse):
             self._view.end(name)
         return result
 
@@ -230,7 +232,7 @@
         body: bytes,
         request_id: str,
         timeout: float,
-    ) -> Sent | retry.Failure:
+    ) -> EngineResponse | retry.Failure:
         name, model = chosen.choice.name, chosen.engine_model
         try:
             upstream = self._dialect.begin(
@@ -259,32 +261,34 @@
         if upstream.status >= 500:
             upstream.close()
             return retry.Failure.UNCLEAR
-        return Sent(name, request_id, upstream)
+        return EngineResponse(name, request_id, upstream)
 
     # Answering
 
-    def _read_whole(self, job: choosing.Job, sent: Sent) -> web.Answer:
+    def _read_buffered(
+        self, job: choosing.Job, response: EngineResponse
+    ) -> web.Answer:
         try:
-            data = sent.upstream.read(self._settings.limits.answer_bytes)
+            data = response.upstream.read(self._settings.limits.answer_bytes)
         except errors.EndpointError as e:
             self._metrics.count("unknown")
             return answers.answer_unknown(f"{e.reason}; {e.remedy}")
         finally:
-            self._view.end(sent.endpoint)
+            self._view.end(response.endpoint)
         seconds = clock.now() - job.started
         self._metrics.latency("completion").observe(seconds)
-        kind = sent.upstream.headers.get("Content-Type", "application/json")
+        kind = response.upstream.headers.get("Content-Type", "application/json")
         headers = {web.OUTCOME: web.RAN}
-        return web.Answer(sent.upstream.status, data, kind, headers)
+        return web.Answer(response.upstream.status, data, kind, headers)
 
     def _hand_over(
-        self, request: web.Request, job: choosing.Job, sent: Sent
+        self, request: web.Request, job: choosing.Job, response: EngineResponse
     ) -> None:
         token = tokens.StreamToken(
-            sent.endpoint, sent.request_id, self._node.identity.name
+            response.endpoint, response.request_id, self._node.identity.name
         )
         self._relay_stream(
-            request, job.caller, token, sent.upstream, -1, job.started
+            request, job.caller, token, response.upstream, -1, job.started
         )
 
     def _relay_stream(
@@ -314,7 +318,7 @@
             if end is relay_module.End.HUNG_UP:
                 self.cancellations.add(token)
 
-        plan = relay_module.Plan(
+        spec = relay_module.StreamSpec(
             tokens.seal_stream(self._resume_key, caller.name, token),
             after,
             resume,
@@ -322,7 +326,7 @@
             started,
         )
         sock, owner = request.detach(_STREAM_HEADERS)
-        self._relay.add(sock, owner, upstream, plan)
+        self._relay.add(sock, owner, upstream, spec)
 
     # Resuming
 
@@ -341,7 +345,7 @@
             )
         token, after = opened
         self.cancellations.drop(token.request_id)
-        self._tell_first_entry(token)
+        self._notify_first_entry(token)
         address = self._view.address(token.endpoint)
         if address is None:
             return self._answer_gone()
@@ -367,7 +371,7 @@
             "the stream is no longer kept; ask again for a new answer"
         )
 
-    def _tell_first_entry(self, token: tokens.StreamToken) -> None:
+    def _notify_first_entry(self, token: tokens.StreamToken) -> None:
         if token.entry == self._node.identity.name:
             return
         member = self._node.find(token.entry)
@@ -378,7 +382,7 @@
                 member,
                 messages_module.Resumed(token.request_id),
                 messages_module.Noted,
-                _TELL_SECONDS,
+                _NOTIFY_SECONDS,
             )
         except errors.WayslipError:
             # A dead entry cancels nothing.
--- a/src/wayslip/entry/daemon.py
+++ b/src/wayslip/entry/daemon.py
@@ -27,8 +27,8 @@
 from wayslip.peers import node as node_module
 
 _LOG = logging.getLogger(__name__)
-_DRAIN_STEP = 0.05
-_LIST_PERIOD = 2.0
+_DRAIN_CHECK_SECONDS = 0.05
+_LIST_RETRY_SECONDS = 2.0
 
 
 class EntryDaemon:
@@ -84,9 +84,9 @@
             admin.Hooks(self.is_ready, self.dump, lambda request, name: None),
         )
         self.stopping = threading.Event()
-        self._answer_calls()
+        self._register_handlers()
 
-    def _answer_calls(self) -> None:
+    def _register_handlers(self) -> None:
         calls = self.node.calls
         calls.handle(messages.Dump, self._answer_dump)
         calls.handle(messages.Drain, self._answer_drain)
@@ -102,7 +102,7 @@
         self.relay.start()
         self._callers_port.start()
         threading.Thread(
-            target=self._learn_endpoints, name="learn", daemon=True
+            target=self._fetch_endpoints, name="learn", daemon=True
         ).start()
         logs.event(
             _LOG,
@@ -146,14 +146,14 @@
             running += self.relay.active + self.keyed.active
             if not running:
                 return 0
-            time.sleep(_DRAIN_STEP)
+            time.sleep(_DRAIN_CHECK_SECONDS)
         return self.in_flight.total
 
     # Starting in an outage
 
-    def _learn_endpoints(self) -> None:
+    def _fetch_endpoints(self) -> None:
         """Asks peers for the endpoints while the object API is silent."""
-        while not self.stopping.wait(_LIST_PERIOD):
+        while not self.stopping.wait(_LIST_RETRY_SECONDS):
             if self.view.list.synced_at:
                 return
             for member in self.node.live(membership.Role.ENTRY):
@@ -166,7 +166,7 @@
                 except errors.WayslipError:
                     continue
                 for endpoint in answer.endpoints:
-                    self.view.adopt(endpoint)
+                    self.view.update_endpoint(endpoint)
                 break
 
     # Calls
--- a/src/wayslip/entry/journal.py
+++ b/src/wayslip/entry/journal.py
@@ -22,7 +22,7 @@
 from wayslip.objects import kinds
 
 _MAX_BATCH = 256
-_MAX_TRIES = 32
+_MAX_ATTEMPTS = 32
 
 
 @dataclasses.dataclass(frozen=True)
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass
-class _Waiting:
+class _QueuedOperation:
     """An operation and the future of its result."""
 
     operation: Operation
@@ -50,7 +50,7 @@
     def __init__(self, number: int) -> None:
         self.number = number
         self.lock = threading.Lock()
-        self.queue: list[_Waiting] = []
+        self.queue: list[_QueuedOperation] = []
         self.is_writing = False
         self.stored: client_module.Stored[journal.Segment] | None = None
 
@@ -145,14 +145,14 @@
 
     def _submit(self, key: str, operation: Operation) -> Any:
         slot = self._slots[journal.choose_slot(key, len(self._slots))]
-        waiting = _Waiting(operation, concurrent.futures.Future())
+        queued = _QueuedOperation(operation, concurrent.futures.Future())
         with slot.lock:
-            slot.queue.append(waiting)
-            leads = not slot.is_writing
-            slot.is_writing = slot.is_writing or leads
-        if leads:
+            slot.queue.append(queued)
+            is_writer = not slot.is_writing
+            slot.is_writing = slot.is_writing or is_writer
+        if is_writer:
             self._write_all(slot)
-        return waiting.future.result()
+        return queued.future.result()
 
     def _write_all(self, slot: _Slot) -> None:
         """Writes batches until the queue is empty; one thread at a time."""
@@ -166,14 +166,14 @@
             try:
                 results = self._write(slot, [w.operation for w in batch])
             except BaseException as e:
-                for waiting in batch:
-                    waiting.future.set_exception(e)
+                for queued in batch:
+                    queued.future.set_exception(e)
                 continue
-            for waiting, result in zip(batch, results, strict=True):
-                waiting.future.set_result(result)
+            for queued, result in zip(batch, results, strict=True):
+                queued.future.set_result(result)
 
     def _write(self, slot: _Slot, batch: list[Operation]) -> list[Any]:
-        for _ in range(_MAX_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             stored = slot.stored or self._read(slot)
             segment = stored.value
             results = []
--- a/src/wayslip/entry/keyed.py
+++ b/src/wayslip/entry/keyed.py
@@ -38,9 +38,9 @@
 from wayslip.peers import node as node_module
 
 _LOG = logging.getLogger(__name__)
-_CALL_MARGIN = 1.0
-_LATE_FINISHES = 10_000
-_LATE_PAUSE = 1.0
+_CALL_MARGIN_SECONDS = 1.0
+_MAX_DEFERRED = 10_000
+_DEFERRED_RETRY_SECONDS = 1.0
 
 Execute = Callable[[messages.Forward], messages.Forwarded]
 
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Entry:
+class _KeyedCall:
     """A request with the digests that name it."""
 
     request: messages.Forward
@@ -91,11 +91,11 @@
         self._issued = issued.IssuedTable(
             limits.issued_limit, limits.issued_seconds
         )
-        self._late: queue.Queue[Callable[[], None]] = queue.Queue(
-            _LATE_FINISHES
+        self._deferred: queue.Queue[Callable[[], None]] = queue.Queue(
+            _MAX_DEFERRED
         )
         threading.Thread(
-            target=self._finish_late, name="late-finish", daemon=True
+            target=self._run_deferred, name="late-finish", daemon=True
         ).start()
 
     @property
@@ -140,61 +140,61 @@
     def _forward(
         self, member: membership.Member, request: messages.Forward
     ) -> messages.Forwarded:
-        timeout = request.seconds_left + _CALL_MARGIN
+        timeout = request.seconds_left + _CALL_MARGIN_SECONDS
         self._metrics.count("keyed_forwarded")
         return self._node.call(member, request, messages.Forwarded, timeout)
 
     def serve_here(self, request: messages.Forward) -> messages.Forwarded:
         """Answers a request in this process; retries of its key join it."""
         digest = journal.digest_key(request.caller, request.key)
-        entry = _Entry(request, digest, _fingerprint(request))
+        call = _KeyedCall(request, digest, _fingerprint(request))
         token = tokens.open_key(self._token_key, request.caller, request.key)
         if token is not None:
-            guard: Guard = _IssuedGuard(self, token.serial, entry.fingerprint)
+            guard: Guard = _IssuedGuard(self, token.serial, call.fingerprint)
         else:
-            guard = _JournalGuard(self, entry)
-        return self._join(entry, guard)
+            guard = _JournalGuard(self, call)
+        return self._join(call, guard)
 
-    def _join(self, entry: _Entry, guard: Guard) -> messages.Forwarded:
+    def _join(self, call: _KeyedCall, guard: Guard) -> messages.Forwarded:
         with self._lock:
-            future = self._running.get(entry.digest)
-            leads = future is None
+            future = self._running.get(call.digest)
+            is_first = future is None
             if future is None:
                 if len(self._running) >= self._settings.limits.keyed_in_flight:
                     return _answer_unknown("too many keyed requests at once")
                 future = concurrent.futures.Future()
-                self._running[entry.digest] = future
-        if not leads:
-            return self._wait(entry, future)
+                self._running[call.digest] = future
+        if not is_first:
+            return self._wait(call, future)
         try:
-            answer = self._run(entry, guard)
-            future.set_result((entry.fingerprint, answer))
+            answer = self._run(call, guard)
+            future.set_result((call.fingerprint, answer))
             return answer
         except BaseException as e:
             future.set_exception(e)
             raise
         finally:
             with self._lock:
-                del self._running[entry.digest]
+                del self._running[call.digest]
 
     def _wait(
-        self, entry: _Entry, future: concurrent.futures.Future
+        self, call: _KeyedCall, future: concurrent.futures.Future
     ) -> messages.Forwarded:
         self._metrics.count("keyed_joined")
         try:
-            fingerprint, answer = future.result(entry.request.seconds_left)
+            fingerprint, answer = future.result(call.request.seconds_left)
         except concurrent.futures.TimeoutError:
             return _answer_unknown("the first call with this key still runs")
-        if fingerprint != entry.fingerprint:
+        if fingerprint != call.fingerprint:
             return _answer_reused()
         return answer
 
-    def _run(self, entry: _Entry, guard: Guard) -> messages.Forwarded:
+    def _run(self, call: _KeyedCall, guard: Guard) -> messages.Forwarded:
         permit = guard.start()
         if isinstance(permit, messages.Forwarded):
             return permit
         try:
-            answer = self._execute(entry.request)
+            answer = self._execute(call.request)
         except errors.BadRequestError as e:
             answer = _forwarded(
                 web.Answer(400, str(e).encode(), "text/plain"), web.NOT_RUN
@@ -208,23 +208,23 @@
 
     # Late results
 
-    def finish_later(self, task: Callable[[], None]) -> None:
+    def defer(self, task: Callable[[], None]) -> None:
         """Has a result written once the object API is back."""
         try:
-            self._late.put_nowait(task)
+            self._deferred.put_nowait(task)
         except queue.Full:
             # The record stays `started`: later retries get `unknown`.
             self._metrics.count("keyed_results_lost")
 
-    def _finish_late(self) -> None:
+    def _run_deferred(self) -> None:
         while True:
-            task = self._late.get()
+            task = self._deferred.get()
             while True:
                 try:
                     task()
                     break
                 except errors.ObjectUnavailableError:
-                    time.sleep(_LATE_PAUSE)
+                    time.sleep(_DEFERRED_RETRY_SECONDS)
                 except errors.WayslipError:
                     break
 
@@ -312,27 +312,23 @@
     """Guards a key by its record in the object API."""
 
     keyed: Keyed
-    entry: _Entry
+    call: _KeyedCall
 
     def start(self) -> Permit | messages.Forwarded:
         """See `Guard`."""
         keyed = self.keyed
         runner = f"{keyed._node.process}/{uuid.uuid4().hex}"
-        digest = self.entry.digest
+        digest = self.call.digest
         try:
-            record = keyed._journal.start(
-                digest, self.entry.fingerprint, runner
-            )
-            if _is_open(record, runner):
+            record = keyed._journal.start(digest, self.call.fingerprint, runner)
+            if _is_unsettled(record, runner):
                 # The copy may be old; the object itself decides.
                 record = keyed._journal.look_up(digest) or record
         except errors.ObjectUnavailableError as e:
             # It was not run and this runner never will. If the start was
             # written all the same, that is told to the record later.
             permit = _JournalPermit(keyed, digest, runner)
-            keyed.finish_later(
-                lambda: permit.write(journal.State.NOT_RUN, None)
-            )
+            keyed.defer(lambda: permit.write(journal.State.NOT_RUN, None))
             return _answer_unknown(
                 f"{e.reason}; an issued key (POST /v1/keys) needs no store"
             )
@@ -356,7 +352,7 @@
 
     def _ask_runner(self, member: membership.Member) -> messages.Forwarded:
         try:
-            return self.keyed._forward(member, self.entry.request)
+            return self.keyed._forward(member, self.call.request)
         except errors.WayslipError:
             return _answer_unknown("the entry that runs this key is cut off")
 
@@ -381,7 +377,7 @@
         try:
             self.write(state, kept)
         except errors.ObjectUnavailableError:
-            self.keyed.finish_later(lambda: self.write(state, kept))
+            self.keyed.defer(lambda: self.write(state, kept))
 
     def write(
         self, state: journal.State, answer: journal.Answer | None
@@ -394,7 +390,9 @@
         self.keyed._journal.finish(self.digest, self.runner, state, answer)
 
 
-def _is_open(record: journal.Record | refusals.Refusal, runner: str) -> bool:
+def _is_unsettled(
+    record: journal.Record | refusals.Refusal, runner: str
+) -> bool:
     return (
         isinstance(record, journal.Record)
         and record.runner != runner
--- a/src/wayslip/entry/relay.py
+++ b/src/wayslip/entry/relay.py
@@ -37,8 +37,8 @@
 _LOG = logging.getLogger(__name__)
 _RECEIVE_BYTES = 65_536
 _RESUME_THREADS = 4
-_RESUME_TRIES = 4
-_RESUME_PAUSE = 0.25
+_RESUME_ATTEMPTS = 4
+_RESUME_BACKOFF_SECONDS = 0.25
 _EVENT_END = b"\n\n"
 _ID_LINE = re.compile(rb"^id: (?=\d)", re.MULTILINE)
 _DONE = b"data: [DONE]"
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Plan:
+class StreamSpec:
     """What the relay needs to know of a stream.
 
     Attributes:
@@ -100,22 +100,22 @@
     def feed(self, data: bytes) -> bytes:
         """Returns the body bytes among bytes from the wire."""
         self._parser.feed_data(data)
-        taken = b"".join(self.data)
+        body = b"".join(self.data)
         self.data.clear()
-        return taken
+        return body
 
 
 class _Stream:
     """One stream; touched by the relay's thread only."""
 
     def __init__(
-        self, caller: socket.socket, caller_owner: Any, plan: Plan
+        self, caller: socket.socket, caller_owner: Any, spec: StreamSpec
     ) -> None:
         self.caller = caller
         self.caller_owner = caller_owner
-        self.plan = plan
-        self.id_prefix = b"id: " + plan.token.encode("ascii") + b"."
-        self.last = plan.after
+        self.spec = spec
+        self.id_prefix = b"id: " + spec.token.encode("ascii") + b"."
+        self.last_event = spec.after
         self.upstream: socket.socket | None = None
         self.upstream_owner: Any = None
         self.body: _Body | None = None
@@ -171,18 +171,18 @@
         caller: socket.socket,
         caller_owner: Any,
         upstream: exchange.Exchange,
-        plan: Plan,
+        spec: StreamSpec,
     ) -> None:
         """Takes over a stream whose heads were read and sent.
 
         May be called from any thread.
         """
-        stream = _Stream(caller, caller_owner, plan)
-        self._post(lambda: self._begin(stream, upstream))
+        stream = _Stream(caller, caller_owner, spec)
+        self._schedule(lambda: self._begin(stream, upstream))
 
     # The thread
 
-    def _post(self, task: Callable[[], None]) -> None:
+    def _schedule(self, task: Callable[[], None]) -> None:
         self._tasks.append(task)
         self._wake()
 
@@ -228,12 +228,12 @@
         if stream not in self._streams:
             upstream.close()
             return
-        sock, early, owner = upstream.detach()
+        sock, buffered, owner = upstream.detach()
         stream.upstream, stream.upstream_owner = sock, owner
         stream.body = _Body(upstream.headers)
         self._selector.register(sock, selectors.EVENT_READ, stream)
-        if early:
-            self._take(stream, early)
+        if buffered:
+            self._process_data(stream, buffered)
 
     def _serve(self, stream: _Stream, sock: Any, mask: int) -> None:
         if stream not in self._streams:
@@ -257,34 +257,36 @@
         except OSError:
             data = b""
         if not data:
-            self._break(stream)
+            self._start_resume(stream)
             return
-        self._take(stream, data)
+        self._process_data(stream, data)
 
-    def _take(self, stream: _Stream, data: bytes) -> None:
+    def _process_data(self, stream: _Stream, data: bytes) -> None:
         assert stream.body is not None
         try:
             body = stream.body.feed(data)
         except httptools.HttpParserError:
-            self._break(stream)
+            self._start_resume(stream)
             return
         text = stream.partial + body
         end = text.rfind(_EVENT_END) + len(_EVENT_END)
         if end >= len(_EVENT_END):
             stream.partial = text[end:]
-            self._pass_on(stream, text[:end])
+            self._forward_events(stream, text[:end])
         else:
             stream.partial = text
         if stream not in self._streams or stream.is_done:
             return
         if stream.body.is_complete or len(stream.partial) > self._buffer_bytes:
-            self._break(stream)
+            self._start_resume(stream)
 
-    def _pass_on(self, stream: _Stream, events: bytes) -> None:
+    def _forward_events(self, stream: _Stream, events: bytes) -> None:
         start = events.rfind(b"\nid: ") + 1
         if start or events.startswith(b"id: "):
             number = events[start + 4 : events.find(b"\n", start)]
-            stream.last = int(number) if number.isdigit() else stream.last
+            stream.last_event = (
+                int(number) if number.isdigit() else stream.last_event
+            )
         done = events.startswith(_DONE) or b"\n" + _DONE in events
         events = _ID_LINE.sub(stream.id_prefix, events)
         stream.out += b"%x\r\n%s\r\n" % (len(events), events)
@@ -294,7 +296,7 @@
             self._detach_upstream(stream)
         if not stream.has_sent:
             stream.has_sent = True
-            self._first_token.observe(clock.now() - stream.plan.started)
+            self._first_token.observe(clock.now() - stream.spec.started)
         self._write(stream)
 
     def _detach_upstream(self, stream: _Stream) -> None:
@@ -308,23 +310,23 @@
 
     # A broken engine stream
 
-    def _break(self, stream: _Stream) -> None:
+    def _start_resume(self, stream: _Stream) -> None:
         """Takes the stream up again in another thread, since that blocks."""
         self._detach_upstream(stream)
         # Half an event was not passed on; the engine sends it again whole.
         stream.partial = b""
         self._metrics.count("streams_broken")
-        after = stream.last
+        after = stream.last_event
         try:
             self._resumers.submit(self._resume, stream, after)
         except RuntimeError:
             self._end(stream, End.BROKEN)
 
     def _resume(self, stream: _Stream, after: int) -> None:
-        for attempt in range(_RESUME_TRIES):
-            time.sleep(_RESUME_PAUSE * attempt)
+        for attempt in range(_RESUME_ATTEMPTS):
+            time.sleep(_RESUME_BACKOFF_SECONDS * attempt)
             try:
-                upstream = stream.plan.resume(after)
+                upstream = stream.spec.resume(after)
             except errors.EndpointError as e:
                 logs.event(
                     _LOG, "resume_failed", logging.DEBUG, reason=e.reason
@@ -332,12 +334,14 @@
                 continue
             if upstream.status == 200 and upstream.is_stream:
                 self._metrics.count("streams_resumed")
-                self._post(functools.partial(self._attach, stream, upstream))
+                self._schedule(
+                    functools.partial(self._attach, stream, upstream)
+                )
                 return
             upstream.close()
-        self._post(lambda: self._give_up(stream))
+        self._schedule(lambda: self._end_with_error(stream))
 
-    def _give_up(self, stream: _Stream) -> None:
+    def _end_with_error(self, stream: _Stream) -> None:
         if stream not in self._streams:
             return
         text = json.dumps(
@@ -416,4 +420,4 @@
         stream.caller.close()
         stream.caller_owner = None
         self._metrics.count("streams", end=end)
-        stream.plan.on_end(end)
+        stream.spec.on_end(end)
--- a/src/wayslip/entry/routes.py
+++ b/src/wayslip/entry/routes.py
@@ -267,7 +267,7 @@
             deadline,
             may_repeat=False,
         )
-        return services_module.to_forwarded(self._completions.run_whole(job))
+        return services_module.to_forwarded(self._completions.run_buffered(job))
 
 
 def read_key(request: web.Request) -> str:
--- a/src/wayslip/entry/services.py
+++ b/src/wayslip/entry/services.py
@@ -21,7 +21,7 @@
 from wayslip.peers import node as node_module
 
 # Predicted delay of a service; its targets are the deadline's matter.
-_SERVICE_DELAY = 0.01
+_SERVICE_DELAY_SECONDS = 0.01
 _PROMPT = view_module.Prompt(1)
 
 
@@ -111,7 +111,7 @@
             caller=self._in_flight.of(job.caller.name) - 1,
             endpoint=self._view.in_flight(name),
             entries=len(entries),
-            predicted=_SERVICE_DELAY,
+            predicted=_SERVICE_DELAY_SECONDS,
             seconds_left=job.deadline - clock.now(),
         )
         return self._admit(load, job.caller, self._settings.admission)
--- a/src/wayslip/entry/view.py
+++ b/src/wayslip/entry/view.py
@@ -35,7 +35,7 @@
 _REPORT_SECONDS = 1.0
 _LEAVING_TTL = 30.0
 # Peers tell what they sent in one sum; it counts as of this rank.
-_TOLD_RANK = 1
+_PEER_SENT_RANK = 1
 
 
 @dataclasses.dataclass
@@ -62,7 +62,7 @@
 
     tokens: int
     blocks: tuple[int, ...] = ()
-    rank: int = _TOLD_RANK
+    rank: int = _PEER_SENT_RANK
 
 
 class EndpointView:
@@ -89,8 +89,8 @@
         )
         self._stopping = threading.Event()
         self.list = informer.Informer(client, kinds.ENDPOINT)
-        self.list.subscribe(self._take_listed)
-        node.subscribe(self._take_facts)
+        self.list.subscribe(self._apply_listed)
+        node.subscribe(self._apply_facts)
         self._thread = threading.Thread(
             target=self._poll_all, name="poll", daemon=True
         )
@@ -130,16 +130,16 @@
         names: Sequence[str],
         items: tuple[str, ...],
         prompt: Prompt,
-        besides: frozenset[str],
+        excluded: frozenset[str],
     ) -> list[routing.Candidate]:
         """Returns the engines that hold all items and may get a request.
 
         Those are the usable ones, or the suspect ones where there is none.
         """
-        told = self._find_told()
+        peer_sent = self._find_peer_sent()
         peers = max(len(self._node.live(membership.Role.ENTRY)) - 1, 0)
         with self._lock:
-            holders = self._find_holders(names, items, besides)
+            holders = self._find_holders(names, items, excluded)
             usable = [t for t in holders if t.health.is_usable]
             suspect = [t for t in holders if t.health.is_suspect]
             found = usable or suspect
@@ -147,17 +147,18 @@
                 prompt.blocks, [t.endpoint.name for t in found]
             )
             return [
-                self._candidate(t, prompt, told, peers, home) for t in found
+                self._candidate(t, prompt, peer_sent, peers, home)
+                for t in found
             ]
 
     def _find_holders(
         self,
         names: Sequence[str],
         items: tuple[str, ...],
-        besides: frozenset[str],
+        excluded: frozenset[str],
     ) -> list[_Tracked]:
         """Returns the engines whose last report shows all items."""
-        tracked = [self._tracked.get(n) for n in names if n not in besides]
+        tracked = [self._tracked.get(n) for n in names if n not in excluded]
         return [
             t
             for t in tracked
@@ -170,7 +171,7 @@
         self,
         tracked: _Tracked,
         prompt: Prompt,
-        told: dict[str, list[routing.Sent]],
+        peer_sent: dict[str, list[routing.Sent]],
         peers: int,
         home: str | None,
     ) -> routing.Candidate:
@@ -181,7 +182,7 @@
         if name == home:
             cached = routing.expect_cached(cached, prompt.blocks)
         since = tracked.asked_at
-        fresh = [s for s in told.get(name, ()) if s.at > since]
+        fresh = [s for s in peer_sent.get(name, ()) if s.at > since]
         reported_until = clock.now() - self._settings.routing.poll_seconds
         unseen = routing.estimate_unseen(tracked.sent, reported_until, peers)
         known = sorted((*tracked.sent, *fresh, *unseen), key=lambda s: s.at)
@@ -206,14 +207,14 @@
             == self._settings.instance.data_hall,
         )
 
-    def _find_told(self) -> dict[str, list[routing.Sent]]:
+    def _find_peer_sent(self) -> dict[str, list[routing.Sent]]:
         """Returns what peers sent to each engine, by local arrival time."""
-        told: dict[str, list[routing.Sent]] = {}
+        peer_sent: dict[str, list[routing.Sent]] = {}
         for fact, at in self._node.arrivals(facts.Topic.IN_FLIGHT):
             if fact.origin != self._node.identity.name:
-                sent = routing.Sent(at, int(fact.value), _TOLD_RANK)
-                told.setdefault(fact.subject, []).append(sent)
-        return told
+                sent = routing.Sent(at, int(fact.value), _PEER_SENT_RANK)
+                peer_sent.setdefault(fact.subject, []).append(sent)
+        return peer_sent
 
     def usable(self, names: Sequence[str]) -> list[str]:
         """Returns the endpoints among some that may get new work."""
@@ -301,7 +302,7 @@
 
     def note_refusal(self, name: str) -> None:
         """Notes that an endpoint refused work because it leaves."""
-        self._leave(name, health_module.LeavingSource.REFUSAL)
+        self._mark_leaving(name, health_module.LeavingSource.REFUSAL)
 
     # Signs
 
@@ -311,7 +312,9 @@
             if tracked is not None:
                 tracked.health = step(tracked.health)
 
-    def _leave(self, name: str, sign: health_module.LeavingSource) -> None:
+    def _mark_leaving(
+        self, name: str, source: health_module.LeavingSource
+    ) -> None:
         now = clock.now()
         with self._lock:
             tracked = self._tracked.get(name)
@@ -320,11 +323,11 @@
             was_leaving = tracked.health.is_leaving
             if not was_leaving:
                 self._lost_at = now
-            tracked.health = tracked.health.leave(sign, now)
+            tracked.health = tracked.health.leave(source, now)
         if was_leaving:
             return
-        logs.event(_LOG, "endpoint_leaving", endpoint=name, sign=sign)
-        if sign is health_module.LeavingSource.PEER:
+        logs.event(_LOG, "endpoint_leaving", endpoint=name, sign=source)
+        if source is health_module.LeavingSource.PEER:
             return
         origin = self._node.identity.name
         fact = facts.Fact(
@@ -332,26 +335,28 @@
         )
         self._node.publish(fact)
 
-    def _take_facts(self, news: tuple[facts.Fact, ...]) -> None:
-        for fact in news:
-            mine = fact.origin == self._node.identity.name
-            if fact.topic is facts.Topic.LEAVING and not mine:
-                self._leave(fact.subject, health_module.LeavingSource.PEER)
+    def _apply_facts(self, received: tuple[facts.Fact, ...]) -> None:
+        for fact in received:
+            is_own = fact.origin == self._node.identity.name
+            if fact.topic is facts.Topic.LEAVING and not is_own:
+                self._mark_leaving(
+                    fact.subject, health_module.LeavingSource.PEER
+                )
 
-    def _take_listed(self, name: str, value: kinds.Endpoint | None) -> None:
+    def _apply_listed(self, name: str, value: kinds.Endpoint | None) -> None:
         if value is None:
             with self._lock:
                 if self._tracked.pop(name, None) is not None:
                     self._lost_at = clock.now()
             self.prefixes.forget(name)
             return
-        self.adopt(value)
+        self.update_endpoint(value)
         if value.phase is kinds.Phase.LEAVING:
-            self._leave(name, health_module.LeavingSource.LIST)
+            self._mark_leaving(name, health_module.LeavingSource.LIST)
         else:
             self._change(name, lambda h: h.note_listed_live())
 
-    def adopt(self, endpoint: kinds.Endpoint) -> None:
+    def update_endpoint(self, endpoint: kinds.Endpoint) -> None:
         """Takes in an endpoint of the list, from the platform or a peer."""
         with self._lock:
             tracked = self._tracked.get(endpoint.name)
@@ -374,11 +379,11 @@
             except RuntimeError:
                 # The pool was shut down: this process is stopping.
                 return
-            self._tell_sent()
+            self._publish_sent()
 
     def _poll(self, tracked: _Tracked) -> None:
         try:
-            self._ask(tracked)
+            self._request_report(tracked)
         except errors.WayslipError:
             self.note_failure(tracked.endpoint.name)
         except Exception:
@@ -386,21 +391,21 @@
         finally:
             tracked.is_polling = False
 
-    def _ask(self, tracked: _Tracked) -> None:
+    def _request_report(self, tracked: _Tracked) -> None:
         name, address = tracked.endpoint.name, tracked.endpoint.address
         asked_at = clock.now()
         if tracked.endpoint.role is kinds.EndpointRole.SERVICE:
-            serves = service_module.ask_state(address, _REPORT_SECONDS)
+            serves = service_module.check_serving(address, _REPORT_SECONDS)
         else:
             report = self._dialect.report(address, _REPORT_SECONDS)
             serves = report.state is engine_module.EngineState.SERVING
-            self._take_report(tracked, report, asked_at)
+            self._record_report(tracked, report, asked_at)
         if not serves:
-            self._leave(name, health_module.LeavingSource.REPORT)
+            self._mark_leaving(name, health_module.LeavingSource.REPORT)
             return
         self._change(name, lambda h: h.confirm_serving(asked_at))
 
-    def _take_report(
+    def _record_report(
         self, tracked: _Tracked, report: engine_module.Report, asked_at: float
     ) -> None:
         with self._lock:
@@ -411,7 +416,7 @@
         if old is not None and old.boot != report.boot:
             self.prefixes.forget(tracked.endpoint.name)
 
-    def _tell_sent(self) -> None:
+    def _publish_sent(self) -> None:
         """Tells peers what prefill this entry sent in the last period."""
         since = clock.now() - self._settings.routing.poll_seconds
         with self._lock:
--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -11,7 +11,7 @@
 TEXT = system_module.expected_text("m@v1", "12 Salt Lake", 20)
 
 
-def test_whole_completion(system):
+def test_completion_is_returned_in_full(system):
     reply = system.complete()
     assert reply.status == 200
     assert reply.outcome == "ran"
@@ -31,7 +31,7 @@
     assert reply.json["model"] == "m-a"
 
 
-def test_stream_is_whole(system):
+def test_stream_is_complete(system):
     stream = system.stream().read_all()
     assert stream.text == TEXT
     assert stream.is_done
@@ -44,7 +44,7 @@
     assert names == ["m", "m-a", "m@v1", "n", "n@v1"]
 
 
-def test_cut_engine_stream_goes_on_with_nothing_twice(system):
+def test_broken_engine_stream_resumes_without_duplicates(system):
     for engine in system.engines.values():
         engine.cut_streams_after = 7
     stream = system.stream().read_all()
@@ -54,7 +54,7 @@
     assert stream.is_done
 
 
-def test_caller_goes_on_through_another_entry(system):
+def test_caller_resumes_stream_through_another_entry(system):
     first = system.stream(0)
     for _ in range(5):
         assert first.read_event()
@@ -80,7 +80,7 @@
     assert stream.response.headers["Wayslip-Outcome"] == "not-run"
 
 
-def test_hang_up_cancels_the_engines_stream(system):
+def test_caller_disconnect_cancels_engine_stream(system):
     stream = system.stream(max_tokens=100_000)
     assert stream.read_event()
     stream.response.close()
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "status", "word"),
+    ("body", "status", "fragment"),
     [
         (b"{", 400, "JSON"),
         (b"[]", 400, "object"),
@@ -102,7 +102,7 @@
         (b'{"x": "' + b"y" * 5_000_000 + b'"}', 413, ""),
     ],
 )
-def test_bad_bodies_get_a_clear_error(system, body, status, word):
+def test_bad_body_gets_specific_error(system, body, status, fragment):
     try:
         reply = system_module.call(
             system.callers_port(), "POST", "/v1/completions", body
@@ -113,7 +113,7 @@
         return
     assert reply.status == status
     assert reply.outcome == "not-run"
-    assert word in reply.json["error"]["message"]
+    assert fragment in reply.json["error"]["message"]
 
 
 def test_unknown_key_is_refused(system):
@@ -165,7 +165,7 @@
     assert b"Wayslip-Outcome: not-run" in answer
 
 
-def test_caller_that_sends_slowly_is_cut_off():
+def test_slow_sender_is_disconnected():
     sections = {"limits": {"worker_threads": 4, "idle_seconds": 1}}
     with system_module.System(1, engines=1, sections=sections) as slow:
         head = (
--- a/tests/faults/test_at_most_once.py
+++ b/tests/faults/test_at_most_once.py
@@ -8,7 +8,7 @@
 
 
 @pytest.fixture(autouse=True)
-def healthy(system):
+def reset_faults(system):
     yield
     system.objects.faults = type(system.objects.faults)()
     for service in system.services.values():
@@ -16,7 +16,7 @@
         service.cut_before = service.cut_after = 0
 
 
-def test_retry_through_another_entry_gets_the_kept_answer(system):
+def test_retry_through_another_entry_gets_stored_answer(system):
     first = system.run_keyed("key-1", "one", 0)
     again = system.run_keyed("key-1", "one", 1)
     assert (first.status, first.outcome) == (200, "ran")
@@ -42,7 +42,7 @@
     assert system.runs("two") == 1
 
 
-def test_cut_after_the_run_is_unknown_and_never_runs_again(system):
+def test_disconnect_after_run_is_unknown_and_not_rerun(system):
     for service in system.services.values():
         service.cut_after = 1
     first = system.run_keyed("key-3", "three", 0)
@@ -52,7 +52,7 @@
     assert system.runs("three") == 1
 
 
-def test_lost_answers_of_the_store_do_not_run_a_key_twice(system):
+def test_lost_store_responses_do_not_run_key_twice(system):
     system.objects.faults.lose = 0.5
     outcomes = set()
     for n in range(20):
@@ -63,7 +63,7 @@
     assert outcomes <= {"ran", "unknown"}
 
 
-def test_store_down_says_unknown_for_chosen_keys_and_runs_issued_ones(system):
+def test_store_outage_returns_unknown_except_for_issued_keys(system):
     address = system.callers_port(0)
     keys = system_module.call(address, "POST", "/v1/keys?count=2").json["keys"]
     system.objects.faults.down = True
@@ -79,7 +79,7 @@
     assert system.complete().outcome == "ran"
 
 
-def test_store_back_lets_the_key_run_that_never_ran(system):
+def test_key_that_never_ran_runs_after_store_recovers(system):
     system.objects.faults.down = True
     assert system.run_keyed("key-6", "six", 0).outcome == "unknown"
     system.objects.faults.down = False
@@ -108,7 +108,7 @@
     assert system.runs("stolen") == 0
 
 
-def test_call_without_key_is_refused_where_one_is_needed(system):
+def test_call_without_required_key_is_refused(system):
     reply = system_module.call(
         system.callers_port(), "POST", "/v1/services/s/run", {"id": "bare"}
     )
@@ -117,7 +117,7 @@
     assert system.runs("bare") == 0
 
 
-def test_endpoint_that_refuses_connections_is_not_run(system):
+def test_request_to_draining_services_is_not_run(system):
     addresses = {}
     for name, service in system.services.items():
         addresses[name] = service.address
--- a/tests/faults/test_endpoints.py
+++ b/tests/faults/test_endpoints.py
@@ -20,7 +20,7 @@
     return all(name not in entry.view.usable([name]) for entry in fleet.entries)
 
 
-def test_listed_leaving_endpoint_gets_no_new_work(fleet):
+def test_endpoint_listed_as_leaving_gets_no_new_requests(fleet):
     fleet.list_leaving("e0")
     system_module.wait_until(lambda: _is_unused(fleet, "e0"), "e0 unused")
     before = _served(fleet)["e0"]
@@ -82,7 +82,7 @@
         assert reply.status == 200, reply.body
 
 
-def test_refusal_at_one_entry_is_told_to_the_other_with_the_list_down(fleet):
+def test_refusal_is_announced_to_other_entry_during_store_outage(fleet):
     fleet.objects.faults.down = True
     fleet.engines["e1"].state = "draining"
     system_module.wait_until(lambda: _is_unused(fleet, "e1"), "e1 unused")
@@ -95,7 +95,7 @@
     )
 
 
-def test_models_of_a_dead_engine_come_back_on_others(fleet):
+def test_models_of_stopped_engine_are_loaded_elsewhere(fleet):
     holders = fleet.operate("GET", "/v1/models").json["models"]
     sole = next(m for m in holders if m["name"] == "n")["ready_on"]
     assert len(sole) == 1
@@ -105,7 +105,7 @@
     )
 
 
-def test_engine_that_restarts_empty_is_loaded_again(fleet):
+def test_engine_restarted_empty_is_reloaded(fleet):
     for engine in fleet.engines.values():
         with engine._lock:
             engine._items.clear()
@@ -120,7 +120,7 @@
     assert all(not e.overcommitted for e in fleet.engines.values())
 
 
-def test_lost_order_answers_leave_memory_whole(fleet):
+def test_lost_order_responses_do_not_overcommit_memory(fleet):
     for engine in fleet.engines.values():
         engine.lose_answers = 2
     intent = system_module.grow_intent("k", 20, 3)
