--- a/src/wayslip/endpoints/__init__.py
+++ b/src/wayslip/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Endpoints: engines and plain services, and how to talk to them."""
+"""Clients to endpoints: model engines and plain services."""
--- a/src/wayslip/endpoints/engine.py
+++ b/src/wayslip/endpoints/engine.py
@@ -1,8 +1,8 @@
 """Dialects of model engines: completions, load reports and orders.
 
-A dialect is a registered adapter, because the real engines are met later.
-The one here speaks the OpenAI-compatible API with server-sent events, and
-orders that carry a fence.
+Dialects are registered by name, so that other engines can be supported. The
+one here uses the OpenAI-compatible API with server-sent events, and orders that
+carry a fence.
 """
 
 import dataclasses
@@ -23,7 +23,7 @@
 
 
 class EngineState(enum.StrEnum):
-    """What an engine says of itself."""
+    """The state that an engine reports."""
 
     SERVING = "serving"
     DRAINING = "draining"
@@ -31,16 +31,16 @@
 
 @dataclasses.dataclass(frozen=True)
 class Report:
-    """An engine's load, with a lag, and what it holds.
+    """An engine's load and the items it holds. The load lags.
 
     Attributes:
-        boot: Start of its process, milliseconds.
-        fence: Highest fence seen in this boot.
-        waiting_tokens: Prefill that waits, tokens.
-        slots: Requests that its batch can hold.
-        prefill_rate: Tokens a second.
-        step: Seconds a decoding step takes.
-        overcommitted: Times that its memory did not suffice; must stay 0.
+        boot: Start time of the engine's process, milliseconds.
+        fence: Highest fence received since that start.
+        waiting_tokens: Queued prefill, tokens.
+        slots: Maximum number of requests in its batch.
+        prefill_rate: Tokens per second.
+        step: Duration of a decoding step, seconds.
+        overcommitted: How often its memory did not suffice; must stay 0.
     """
 
     boot: int
@@ -59,7 +59,7 @@
 
     @property
     def residency(self) -> ledger.Residency:
-        """What the engine holds, for its ledger."""
+        """The items that the engine holds and loads, for its ledger."""
         return ledger.Residency(
             self.boot, self.fence, self.loading, self.resident
         )
@@ -67,7 +67,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Order:
-    """An order to an engine. Fence and boot are 0 where it checks none."""
+    """An order to an engine.
+
+    Fence and boot are 0 for an engine that does not check them.
+    """
 
     id: str
     action: ledger.Action
@@ -79,7 +82,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class OrderAnswer:
-    """What an engine did with an order, and its report right after."""
+    """The outcome of an order, and the engine's report after it."""
 
     outcome: ledger.Outcome
     detail: str
@@ -87,7 +90,7 @@
 
 
 class Dialect(Protocol):
-    """How to talk to one make of engines. Addresses are "IP:PORT"."""
+    """The protocol of one kind of engine. Addresses are "IP:PORT"."""
 
     def report(self, address: str, timeout: float) -> Report:
         """Returns the load report."""
@@ -108,7 +111,7 @@
     def resume(
         self, address: str, request_id: str, offset: int, timeout: float
     ) -> exchange.Exchange:
-        """Asks for the rest of a stream after an event's number."""
+        """Requests the events of a stream after the one numbered `offset`."""
 
     def cancel(self, address: str, request_id: str, timeout: float) -> bool:
         """Cancels a request; returns whether it had started."""
@@ -155,7 +158,7 @@
     def resume(
         self, address: str, request_id: str, offset: int, timeout: float
     ) -> exchange.Exchange:
-        """Asks for the rest of a stream after an event's number."""
+        """Requests the events of a stream after the one numbered `offset`."""
         path = f"/v1/streams/{request_id}?after={offset}"
         return exchange.begin(
             exchange.Call(address, "GET", path, {}, b"", timeout)
@@ -193,5 +196,5 @@
         first = e.errors()[0]
         raise errors.EndpointUnclearError(
             f"{address} sent a malformed answer: {first['loc']} {first['msg']}",
-            "check the engine's dialect",
+            "check that the engine uses this dialect",
         ) from e
--- a/src/wayslip/endpoints/exchange.py
+++ b/src/wayslip/endpoints/exchange.py
@@ -1,9 +1,9 @@
-"""One HTTP exchange with an endpoint, with its failures told apart.
+"""One HTTP exchange with an endpoint, with distinct errors for its failures.
 
-Each exchange has a connection of its own: a reset on a reused connection
-would leave it open whether the request was read, and would turn a plain
-`not-run` into `unknown`. `NotSentError` is raised only while connecting, when
-no byte of the request can have left.
+Each exchange has its own connection. After a reset on a reused connection it
+would be unclear whether the request was read, and the outcome would be
+`unknown` instead of `not-run`. `NotSentError` is raised only while connecting,
+before any byte of the request can have been sent.
 """
 
 from collections.abc import Mapping
@@ -27,7 +27,8 @@
 
     Attributes:
         address: "IP:PORT".
-        timeout: Seconds without a byte before it counts as unclear.
+        timeout: Seconds without a byte after which the exchange fails as
+            unclear.
     """
 
     address: str
@@ -39,7 +40,7 @@
 
 
 class Exchange:
-    """A sent request and the head of its answer.
+    """A sent request and its answer, of which the head has been read.
 
     Attributes:
         status: The answer's status code.
@@ -68,40 +69,42 @@
         """Returns the whole body and ends the exchange.
 
         Raises:
-            EndpointUnclearError: It broke off, or is longer than the limit.
+            EndpointUnclearError: The connection broke, or the body is longer
+                than the limit.
         """
         try:
             data = self._response.read(limit + 1)
             is_cut = len(data) <= limit and _is_incomplete(self._response)
         except (urllib3.exceptions.HTTPError, OSError) as e:
             raise errors.EndpointUnclearError(
-                f"the answer broke off ({type(e).__name__})",
+                f"the connection broke during the answer ({type(e).__name__})",
                 "see the endpoint's log",
             ) from e
         finally:
             self.close()
         if len(data) > limit or is_cut:
             raise errors.EndpointUnclearError(
-                f"the answer is cut or longer than {limit} bytes",
-                "raise limits.answer_bytes or ask for less",
+                f"the answer is truncated or longer than {limit} bytes",
+                "raise limits.answer_bytes or request a shorter answer",
             )
         return data
 
     def detach(self) -> tuple[socket.socket, bytes, Any]:
-        """Gives the socket away to a reader that does not block.
+        """Hands the socket to a non-blocking reader.
 
         Returns:
-            The socket, now non-blocking; body bytes already read from it, in
-            wire form; and an object that keeps the socket open.
+            The socket, now non-blocking; body bytes already read from it, still
+            with any transfer encoding; and an object that keeps the socket
+            open.
         """
         self._sock.setblocking(False)
-        # The head was read through a buffer, which may hold body bytes too.
+        # The head was read through a buffer that may hold body bytes as well.
         raw: http.client.HTTPResponse = self._response._fp  # type: ignore
         buffered = raw.fp.peek() if raw.fp is not None else b""
         return self._sock, bytes(buffered or b""), self
 
     def close(self) -> None:
-        """Ends the exchange, whatever came of it."""
+        """Closes the connection, in any state of the exchange."""
         self._response.close()
         self._conn.close()
 
@@ -116,7 +119,7 @@
 
     Raises:
         NotSentError: No connection was made, so nothing was sent.
-        EndpointUnclearError: Some of it may have been read.
+        EndpointUnclearError: The endpoint may have read the request.
     """
     host, port = addresses.split_address(call.address)
     conn = connection.HTTPConnection(
@@ -127,7 +130,7 @@
     except (urllib3.exceptions.HTTPError, OSError) as e:
         conn.close()
         raise errors.NotSentError(
-            f"{call.address} accepts no connection ({type(e).__name__})",
+            f"{call.address} could not be reached ({type(e).__name__})",
             "check that the endpoint runs",
         ) from e
     sock = conn.sock
@@ -151,7 +154,7 @@
     ) as e:
         conn.close()
         raise errors.EndpointUnclearError(
-            f"{call.address} broke off or was late ({type(e).__name__})",
+            f"{call.address} did not answer ({type(e).__name__})",
             "see the endpoint's log; the request may have run",
         ) from e
     return Exchange(conn, sock, response)
--- a/src/wayslip/endpoints/service.py
+++ b/src/wayslip/endpoints/service.py
@@ -1,4 +1,4 @@
-"""Plain services: what they say of themselves, and calls to them."""
+"""Plain services: their reported state, and calls to them."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -12,7 +12,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Response:
-    """A service's whole answer."""
+    """A service's complete answer.
+
+    Attributes:
+        is_not_started: Whether the service says that it did not start the call.
+    """
 
     status: int
     content_type: str
@@ -21,10 +25,10 @@
 
 
 def check_serving(address: str, timeout: float) -> bool:
-    """Returns whether a service says that it serves.
+    """Returns whether a service reports that it serves.
 
     Raises:
-        EndpointError: It did not answer.
+        EndpointError: It did not answer, or its report is malformed.
     """
     call = exchange.Call(address, "GET", "/report", {}, b"", timeout)
     answer = exchange.begin(call)
@@ -33,7 +37,7 @@
         return json.loads(data).get("state") == "serving"
     except (ValueError, AttributeError) as e:
         raise errors.EndpointUnclearError(
-            f"{address} sent a malformed report", "check the service"
+            f"{address} sent a malformed report", "check the service's /report"
         ) from e
 
 
@@ -46,11 +50,11 @@
     timeout: float,
     limit: int,
 ) -> Response:
-    """Calls a service once and returns its whole answer.
+    """Calls a service once and returns its complete answer.
 
     Raises:
         NotSentError: Nothing was sent.
-        EndpointUnclearError: It may have run.
+        EndpointUnclearError: The call may have run.
     """
     call = exchange.Call(address, method, path, headers, body, timeout)
     answer = exchange.begin(call)
