--- a/tests/entry/test_callers.py
+++ b/tests/entry/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers get for good and for bad requests, through a whole system."""
+"""Callers' requests, valid and invalid, through a complete system."""
 
 import json
 import socket
@@ -108,7 +108,7 @@
             system.callers_port(), "POST", "/v1/completions", body
         )
     except (BrokenPipeError, ConnectionResetError):
-        # The server may close before an oversized body is sent.
+        # The server may close the connection before the whole body is sent.
         assert status == 413
         return
     assert reply.status == status
--- a/tests/faults/test_at_most_once.py
+++ b/tests/faults/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Requests that may not be repeated, under failures, through real daemons."""
+"""Requests that may not be repeated, under faults, through real daemons."""
 
 import threading
 
@@ -128,7 +128,7 @@
         service.state = "serving"
     system_module.wait_until(
         lambda: system.run_keyed("key-8", "eight", 1).outcome == "ran",
-        "the key runs once the services serve",
+        "the key runs after the services serve again",
     )
     assert system.runs("eight") == 1
 
--- a/tests/faults/test_endpoints.py
+++ b/tests/faults/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that leave, die or lie, through real daemons."""
+"""Endpoints that leave, stop or report stale state, through real daemons."""
 
 import pytest
 
@@ -31,15 +31,12 @@
 
 
 def test_model_on_another_engine_is_found_once_the_known_holder_leaves():
-    # Symptom: a 503 "m is not ready on any endpoint now" in the first test
-    # here, once in each of two whole CI runs beside load.
-    # Sequence: two engines hold m; an entry's last report of one is older
-    # than the load there, so it knows of the other only; that one is listed as
-    # leaving; until its next poll the entry refuses every request for m as
-    # not loaded.
-    # Cause: who knows no holder refuses at once, though the model's only known
-    # holder has just been taken out and a report that shows another is due.
-    # Polls of 0.8 s make the entry that late on every machine.
+    # Guards against a 503 "m is not ready on any endpoint now" after an
+    # endpoint leaves. Two engines hold m, but an entry's last report of one of
+    # them is older than the load there, so the entry knows only the other
+    # holder. When that one is listed as leaving, an entry that refuses requests
+    # without a known holder at once would refuse all requests for m until its
+    # next poll. A poll period of 0.8 s makes the reports late on any machine.
     slow = {"routing": {"poll_seconds": 0.8}}
     with system_module.System(sections=slow) as fleet:
         fleet.apply()
@@ -60,14 +57,10 @@
 
 
 def test_sole_holder_that_missed_a_report_still_gets_requests():
-    # Symptom: a 503 in the test above, once in a whole CI run; 400 runs of it
-    # beside load did not show it again, and that run kept no answer's body.
-    # Sequence: one of two engines that hold a model leaves; a poll of the other
-    # one is not answered in time; a request for the model is refused as not
-    # loaded, "it is being loaded", though its engine serves.
-    # Cause: one poll without an answer made an engine unusable, even where no
-    # other one holds the model. That it was this in that run is not shown: it
-    # is the one way found to a 503 there.
+    # Guards against a 503 for a model whose only remaining holder serves. One
+    # of two engines that hold the model leaves, and a poll of the other is not
+    # answered. If one unanswered poll made an engine unusable even as the only
+    # holder, requests for the model would be refused as not loaded.
     slow = {"routing": {"poll_seconds": 3.0}}
     with system_module.System(sections=slow) as fleet:
         fleet.apply()
@@ -91,7 +84,7 @@
     fleet.engines["e1"].state = "serving"
     system_module.wait_until(
         lambda: all(e.view.usable(["e1"]) for e in fleet.entries),
-        "e1 is back on proof",
+        "e1 is usable again after a report that it serves",
     )
 
 
@@ -101,7 +94,7 @@
     assert len(sole) == 1
     fleet.engines[sole[0]].stop()
     system_module.wait_until(
-        lambda: fleet.complete(model="n").status == 200, "n answers again"
+        lambda: fleet.complete(model="n").status == 200, "n is served again"
     )
 
 
@@ -115,7 +108,7 @@
         lambda: all(
             fleet.complete(model=m).status == 200 for m in ("m", "n", "m-a")
         ),
-        "all models answer again",
+        "all models are served again",
     )
     assert all(not e.overcommitted for e in fleet.engines.values())
 
@@ -163,15 +156,12 @@
 
 
 def test_entry_with_an_old_report_finds_the_new_version():
-    # Symptom: a 503 while a model's version was changed, once in a whole CI
-    # run beside load, in the test of that name above.
-    # Sequence: polls of engines come late; a plan loads v2 and evicts v1
-    # between two of them; the entry sends a request for v1, which is refused
-    # with 404, not started; the retry leaves that engine out, though it holds
-    # v2 by now, and no other engine is known to hold either.
-    # Cause: an engine that lacks one version was taken to be unable to answer
-    # at all, and nobody waited for the report that shows the other one.
-    # Polls of 0.8 s make the entry that late on every machine.
+    # Guards against a 503 while a model's version is changed. A plan loads v2
+    # and evicts v1 between two late polls. The entry sends a request for v1,
+    # which the engine refuses with 404, not started. The request fails if the
+    # retry excludes that engine, though it holds v2 by now, or does not wait
+    # for the report that shows v2. A poll period of 0.8 s makes the reports
+    # late on any machine.
     slow = {"routing": {"poll_seconds": 0.8}}
     with system_module.System(sections=slow) as fleet:
         fleet.apply()
