--- a/src/wayslip/entry/__init__.py
+++ b/src/wayslip/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry daemon: callers' requests, from admission to the last token."""
+"""The entry daemon: serves callers' requests, from admission to last token."""
--- a/src/wayslip/entry/answers.py
+++ b/src/wayslip/entry/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers in the OpenAI error shape, each with its outcome."""
+"""Error answers to callers in the OpenAI format, each with its outcome."""
 
 import math
 
@@ -27,7 +27,7 @@
 def answer_refusal(
     refusal: refusals.Refusal, outcome: str = web.NOT_RUN
 ) -> web.Answer:
-    """Returns the answer for a refusal; `not-run` unless told otherwise."""
+    """Returns the answer for a refusal, by default with outcome `not-run`."""
     status = _STATUS.get(refusal.reason, _UNAVAILABLE)
     headers = {web.OUTCOME: outcome}
     if status in (429, _UNAVAILABLE):
@@ -37,7 +37,7 @@
 
 
 def answer_unknown(detail: str, retry_after: float = 1.0) -> web.Answer:
-    """Returns the answer when the request may or may not have run."""
+    """Returns the 502 answer for a request that may or may not have run."""
     headers = {
         web.OUTCOME: web.UNKNOWN,
         "Retry-After": str(math.ceil(retry_after)),
--- a/src/wayslip/entry/attempts.py
+++ b/src/wayslip/entry/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts at one request, counted against the entry's retry budget."""
+"""Attempts at one request, limited by the entry's retry budget."""
 
 from wayslip import clock
 from wayslip import metrics as metrics_module
@@ -8,7 +8,7 @@
 
 
 class Attempts:
-    """Decides after each failure what follows; used by one thread."""
+    """Decides after each failed attempt what follows. Not thread-safe."""
 
     def __init__(
         self,
@@ -18,7 +18,15 @@
         may_repeat: bool,
         deadline: float,
     ) -> None:
-        """Counts the first attempt; deadline is steady seconds."""
+        """Counts the first attempt towards the retry budget.
+
+        Args:
+            in_flight: Holds the retry budget.
+            limits: Limits on attempts.
+            metrics: Counts retries.
+            may_repeat: Whether an attempt that may have run can be retried.
+            deadline: Seconds of the monotonic clock.
+        """
         self._in_flight = in_flight
         self._limits = limits
         self._metrics = metrics
@@ -28,7 +36,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt so far is unclear."""
+        """Whether an attempt so far may have run."""
         return self._progress.may_have_run
 
     @property
@@ -37,7 +45,10 @@
         return self._deadline - clock.now()
 
     def fail(self, failure: retry.Failure) -> retry.Verdict:
-        """Returns what follows a failed attempt; a retry is paid for."""
+        """Records a failed attempt and returns what follows.
+
+        A retry is taken from the retry budget; without budget there is none.
+        """
         self._progress = self._progress.fail(failure)
         verdict = self._judge(has_budget=True)
         if verdict is not retry.Verdict.RETRY:
--- a/src/wayslip/entry/cancellations.py
+++ b/src/wayslip/entry/cancellations.py
@@ -1,7 +1,7 @@
-"""Cancels streams at their engines after their callers hung up.
+"""Cancels streams at their engines after their callers disconnected.
 
-A caller that lost its connection may go on through any entry, so the engine
-is told only after a while in which nobody did.
+A caller that lost its connection may resume its stream through any entry, so a
+stream is cancelled only if it is not resumed within a delay.
 """
 
 import threading
@@ -16,7 +16,7 @@
 
 
 class Cancellations:
-    """Cancellations that are due later. Safe for many threads."""
+    """Pending cancellations. Safe for many threads."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._timers: dict[str, threading.Timer] = {}
 
     def add(self, token: tokens.StreamToken) -> None:
-        """Has a stream cancelled, unless it is dropped before."""
+        """Schedules a stream's cancellation after the delay."""
         timer = threading.Timer(self._delay, self._cancel, [token])
         timer.daemon = True
         with self._lock:
@@ -40,7 +40,7 @@
         timer.start()
 
     def drop(self, request_id: str) -> None:
-        """Calls off the cancellation of a stream that goes on."""
+        """Withdraws the cancellation of a stream that was resumed."""
         with self._lock:
             timer = self._timers.pop(request_id, None)
         if timer is not None:
@@ -56,5 +56,6 @@
             self._dialect.cancel(address, token.request_id, _CANCEL_SECONDS)
             self._metrics.count("streams_cancelled")
         except errors.WayslipError:
-            # The engine ends it by itself at the token limit.
+            # Without a cancellation, the engine ends the stream at its token
+            # limit.
             return
--- a/src/wayslip/entry/choosing.py
+++ b/src/wayslip/entry/choosing.py
@@ -1,4 +1,4 @@
-"""Which engine gets a completion next, or why none does."""
+"""Chooses the engine for a completion, or refuses the completion."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -18,10 +18,11 @@
 from wayslip.peers import node as node_module
 
 _COLD_RETRY_SECONDS = 2.0
-# Reports that are waited for once an engine lacks what its last one showed: the
-# next one may have been asked for before, so the one after it; and how late
-# they may come on a busy machine, seconds.
+# Polls to wait for once an engine lacks an item that its last report showed.
+# The next report may have been requested before the item was evicted, so the
+# report after it is needed as well.
 _MAX_AWAITED_REPORTS = 2
+# Allowance for reports that are delayed on a busy machine.
 _REPORT_SLACK_SECONDS = 0.5
 _RECHECK_SECONDS = 0.02
 
@@ -31,9 +32,13 @@
     """A checked completion request.
 
     Attributes:
-        body: As it goes to an engine, but for the model's name.
-        started, deadline: Monotonic seconds.
-        may_repeat: Whether it may run again after an unclear failure.
+        body: The body for the engine, before the model's name and the
+            priority are replaced.
+        text: The prompt.
+        started: When the request came in, monotonic seconds.
+        deadline: Monotonic seconds.
+        may_repeat: Whether it may be retried after an attempt that may have
+            run.
     """
 
     caller: settings_module.Caller
@@ -49,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Chosen:
-    """An engine, the model's name there and the prompt's features."""
+    """A chosen engine, the model's name there and the prompt for routing."""
 
     choice: routing.Choice
     engine_model: str
@@ -58,14 +63,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class FailedAttempt:
-    """An attempt that failed: at which engine, under which model's name."""
+    """The engine of a failed attempt, and the model's name sent to it."""
 
     endpoint: str
     engine_model: str
 
 
 class Chooser:
-    """Chooses engines by what this entry knows. Safe for many threads."""
+    """Chooses engines by this entry's view of them. Safe for many threads."""
 
     def __init__(
         self,
@@ -85,17 +90,19 @@
     def choose(
         self, job: Job, tried: frozenset[FailedAttempt]
     ) -> Chosen | refusals.Refusal:
-        """Returns where a job goes next.
+        """Returns the engine for a job's next attempt.
+
+        If no engine is known to hold the model and reports that may show one
+        are due, this waits for them before it refuses the job.
 
         Args:
             job: The request.
-            tried: Its attempts so far. An engine that lacks a model's old
-                version may hold the new one, so it is left out for the name
-                that was tried only.
+            tried: Its failed attempts so far. An engine that lacks a model's
+                old version may hold the new one, so it is excluded only for
+                the model name that was tried there.
 
         Returns:
-            The choice, or why the job is refused. Reports that show who holds
-            its model now are waited for first where they are due.
+            The choice, or why the job is refused.
         """
         polls = _MAX_AWAITED_REPORTS * self._settings.routing.poll_seconds
         limit = clock.now() + polls + _REPORT_SLACK_SECONDS
@@ -110,12 +117,13 @@
         return found
 
     def _is_report_due(self, job: Job, tried: frozenset[FailedAttempt]) -> bool:
-        """Whether new reports may show who holds a job's model now.
+        """Whether new reports may show an engine that holds a job's model.
 
-        An engine that lacked a model's old version may hold the new one: the
-        old one goes once the new one is there. And where the only known holder
-        leaves, another may have loaded the model since its last report. Without
-        the wait such requests were refused though an engine could serve them.
+        An engine that lacks a model's old version may hold the new one, since
+        the old version is evicted once the new one is resident. And when the
+        only known holder leaves, another engine may have loaded the model since
+        its last report. Without the wait, such requests would be refused though
+        an engine can serve them.
         """
         return any(
             self._view.lacks(t.endpoint, t.engine_model) for t in tried
@@ -140,7 +148,7 @@
             return refusals.Refusal(
                 refusals.Reason.NOT_LOADED,
                 f"{job.target.name} is not ready on any endpoint now;"
-                " it is being loaded, come back after Retry-After",
+                " it is being loaded, retry after Retry-After",
                 _COLD_RETRY_SECONDS,
             )
         limits = self._settings.admission
@@ -160,7 +168,7 @@
     ) -> refusals.Refusal | None:
         entries = self._node.live_names(membership.Role.ENTRY)
         load = admission.Load(
-            # This request is counted already.
+            # This request itself is already counted.
             total=self._in_flight.total - 1,
             caller=self._in_flight.of(job.caller.name) - 1,
             endpoint=self._view.in_flight(choice.name),
--- a/src/wayslip/entry/completions.py
+++ b/src/wayslip/entry/completions.py
@@ -1,4 +1,4 @@
-"""Completions: from a caller's request to an engine and back."""
+"""Completions: sends callers' requests to engines and returns the answers."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class EngineResponse:
-    """An engine's answer, its head read, and where it comes from."""
+    """An engine's answer of which only the head was read, and its origin."""
 
     endpoint: str
     request_id: str
@@ -51,7 +51,7 @@
     """Returns a request's prompt as one string.
 
     Raises:
-        BadRequestError: There is none, or it has the wrong form.
+        BadRequestError: There is no prompt, or it is malformed.
     """
     messages = body.get("messages")
     if isinstance(messages, list):
@@ -66,7 +66,8 @@
     if isinstance(prompt, str) and prompt:
         return prompt
     raise errors.BadRequestError(
-        "there is no prompt", 'send "messages" with objects, or a "prompt"'
+        "the request has no prompt",
+        'send "messages" with objects, or a "prompt"',
     )
 
 
@@ -100,7 +101,7 @@
     def check(
         self, request: web.Request, caller: settings_module.Caller
     ) -> choosing.Job | refusals.Refusal:
-        """Returns a request as a job, or why it can not be one.
+        """Checks a request and returns its job, or why it is refused.
 
         Raises:
             BadRequestError: The body or a header is malformed.
@@ -110,7 +111,8 @@
         model = body.get("model")
         if not isinstance(model, str):
             raise errors.BadRequestError(
-                "there is no model", 'send "model", see GET /v1/models'
+                "the request names no model",
+                'send "model", see GET /v1/models',
             )
         target = self._node.holder.catalog.resolve(model)
         if isinstance(target, refusals.Refusal):
@@ -133,7 +135,7 @@
     def serve(
         self, request: web.Request, job: choosing.Job
     ) -> web.Answer | None:
-        """Answers a job; returns None when the relay took it over."""
+        """Answers a job; returns None if the relay streams the answer."""
         if self._relay.active >= self._settings.limits.streams:
             return answers.answer_refusal(_refuse_streams())
         self._in_flight.begin(job.caller.name)
@@ -150,7 +152,7 @@
                 self._in_flight.end(job.caller.name)
 
     def run_buffered(self, job: choosing.Job) -> web.Answer:
-        """Returns the whole answer of a job that is not a stream."""
+        """Returns the complete answer of a job that is not a stream."""
         with self._in_flight.counted(job.caller.name):
             response = self._send(job)
             if isinstance(response, web.Answer):
@@ -158,7 +160,7 @@
             return self._read_buffered(job, response)
 
     def _send(self, job: choosing.Job) -> EngineResponse | web.Answer:
-        """Tries endpoints until one answers or the verdict is final."""
+        """Tries engines until one answers or the verdict is not to retry."""
         tries = attempts.Attempts(
             self._in_flight,
             self._settings.admission,
@@ -193,13 +195,13 @@
         if verdict is retry.Verdict.UNKNOWN:
             self._metrics.count("unknown")
             return answers.answer_unknown(
-                "an endpoint broke off after it may have begun;"
-                " ask again if the request may be repeated"
+                "the connection to an endpoint failed after the request may"
+                " have started; send it again if it may be repeated"
             )
         return answers.answer_refusal(
             refusals.Refusal(
                 refusals.Reason.NO_ENDPOINT,
-                "no endpoint took the request; come back after Retry-After",
+                "no endpoint accepted the request; retry after Retry-After",
                 1.0,
             )
         )
@@ -214,7 +216,7 @@
         if address is None:
             return retry.Failure.NOT_SENT
         request_id = uuid.uuid4().hex
-        # Engines do lower priorities first.
+        # Engines serve lower priority numbers first.
         changes = {"model": chosen.engine_model, "priority": chosen.prompt.rank}
         body = json.dumps({**job.body, **changes}).encode()
         timeout = max(job.deadline - clock.now(), 0.001)
@@ -306,7 +308,7 @@
             address = self._view.address(name)
             if address is None:
                 raise errors.NotSentError(
-                    f"{name} is not listed any more", "ask again"
+                    f"{name} is no longer listed", "send the request again"
                 )
             return self._dialect.resume(
                 address, token.request_id, last, _RESUME_SECONDS
@@ -336,12 +338,19 @@
         caller: settings_module.Caller,
         event_id: str,
     ) -> web.Answer | None:
-        """Goes on with a stream after the last event that a caller got."""
+        """Resumes a stream after the last event that a caller received.
+
+        Returns:
+            An error answer, or None if the relay streams the rest.
+
+        Raises:
+            BadRequestError: The event id is not one of this caller's.
+        """
         opened = tokens.open_event_id(self._resume_key, caller.name, event_id)
         if opened is None:
             raise errors.BadRequestError(
                 "Last-Event-ID is not one of this caller's",
-                "send the last id of the stream as it came",
+                "send the last event id of the stream unchanged",
             )
         token, after = opened
         self.cancellations.drop(token.request_id)
@@ -355,7 +364,7 @@
             )
         except errors.EndpointError:
             return answers.answer_unknown(
-                "the engine does not answer; resume again or ask again"
+                "the engine does not answer; resume again or send a new request"
             )
         if not upstream.is_stream:
             upstream.close()
@@ -368,7 +377,7 @@
 
     def _answer_gone(self) -> web.Answer:
         return answers.answer_unknown(
-            "the stream is no longer kept; ask again for a new answer"
+            "the stream is no longer available; send a new request"
         )
 
     def _notify_first_entry(self, token: tokens.StreamToken) -> None:
@@ -385,15 +394,14 @@
                 _NOTIFY_SECONDS,
             )
         except errors.WayslipError:
-            # A dead entry cancels nothing.
+            # An entry that has stopped does not cancel the stream.
             return
 
 
 def _refuse_streams() -> refusals.Refusal:
     return refusals.Refusal(
         refusals.Reason.OVERLOADED,
-        "the entry relays as many streams as it may; connect again, to"
-        " another entry",
+        "this entry has reached its limit of streams; connect to another entry",
         1.0,
     )
 
@@ -402,7 +410,7 @@
     """Returns the seconds until the caller's deadline.
 
     Raises:
-        BadRequestError: The header is no positive number.
+        BadRequestError: The header is not a positive number.
     """
     text = request.header("Wayslip-Deadline")
     if not text:
@@ -413,7 +421,7 @@
         seconds = 0.0
     if not seconds > 0:
         raise errors.BadRequestError(
-            "Wayslip-Deadline is no positive number",
+            "Wayslip-Deadline is not a positive number",
             "send seconds, such as 2.5",
         )
     return min(seconds, longest)
--- a/src/wayslip/entry/daemon.py
+++ b/src/wayslip/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon put together, with its planned stop."""
+"""Assembles, starts and stops the entry daemon."""
 
 import logging
 import threading
@@ -32,7 +32,7 @@
 
 
 class EntryDaemon:
-    """One instance's entry."""
+    """The entry daemon of one instance."""
 
     def __init__(self, settings: settings_module.Settings) -> None:
         self._settings = settings
@@ -95,7 +95,10 @@
         calls.handle(messages.ListEndpoints, self._answer_list)
 
     def start(self) -> None:
-        """Starts all parts; the callers' port last."""
+        """Starts all components.
+
+        The callers' port opens after the components that serve its requests.
+        """
         self._admin.start()
         self.node.start()
         self.view.start()
@@ -112,13 +115,17 @@
         )
 
     def is_ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should send callers to this instance."""
         return not self.stopping.is_set() and self.node.holder.generation > 0
 
-    # The planned stop
+    # Graceful stop
 
     def stop(self) -> None:
-        """Lets the balancer notice, finishes what runs, then ends."""
+        """Stops gracefully.
+
+        Gives the load balancer time to notice, then refuses new requests,
+        finishes running ones up to a time limit and stops all components.
+        """
         began = clock.now()
         self.stopping.set()
         self.node.leave()
@@ -139,7 +146,11 @@
         )
 
     def _wait_for_requests(self) -> int:
-        """Waits until nothing runs; returns what still does at the limit."""
+        """Waits until no request runs or the time limit is reached.
+
+        Returns:
+            The number of requests in flight at the limit.
+        """
         limit = clock.now() + self._settings.drain.finish_seconds
         while clock.now() < limit:
             running = self.routes.active + self.in_flight.total
@@ -149,10 +160,10 @@
             time.sleep(_DRAIN_CHECK_SECONDS)
         return self.in_flight.total
 
-    # Starting in an outage
+    # Starting while the object API is unreachable
 
     def _fetch_endpoints(self) -> None:
-        """Asks peers for the endpoints while the object API is silent."""
+        """Asks peers for the endpoints until the object API has listed them."""
         while not self.stopping.wait(_LIST_RETRY_SECONDS):
             if self.view.list.synced_at:
                 return
@@ -169,10 +180,10 @@
                     self.view.update_endpoint(endpoint)
                 break
 
-    # Calls
+    # Operators' and peers' calls
 
     def dump(self) -> Any:
-        """Returns the state of the process, with ages in seconds."""
+        """Returns the state of the process. Ages are in seconds."""
         return {
             "member": self.node.process,
             "time": time.time(),
--- a/src/wayslip/entry/journal.py
+++ b/src/wayslip/entry/journal.py
@@ -1,9 +1,9 @@
 """Writes the journal of requests that may not be repeated.
 
-Operations on one slot are gathered while a write is under way and go out
-together in the next, so the object API sees far fewer writes than there are
-requests. An operation may be applied again to newer content, so it has to
-recognise its own effect.
+Operations on one slot are queued while a write to it is in progress, and
+written together in the next write, so the object API gets far fewer writes than
+there are requests. After a conflict, an operation is applied again to the newer
+content, so it has to recognise its own effect.
 """
 
 from collections.abc import Callable
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Applied:
-    """A segment after an operation, and what the operation found."""
+    """A segment after an operation, and the operation's result."""
 
     segment: journal.Segment
     result: Any
@@ -45,7 +45,7 @@
 
 
 class _Slot:
-    """One slot's queue and its last known content."""
+    """The queue of one journal slot and its last known content."""
 
     def __init__(self, number: int) -> None:
         self.number = number
@@ -56,7 +56,7 @@
 
 
 class Journal:
-    """All slots as one entry writes them. Safe for many threads."""
+    """Reads and writes all journal slots. Safe for many threads."""
 
     def __init__(
         self,
@@ -72,10 +72,12 @@
     def start(
         self, key: str, fingerprint: str, runner: str
     ) -> journal.Record | refusals.Refusal:
-        """Writes that a runner starts a key; returns the key's record.
+        """Records that a runner starts a key's request.
 
-        The record is the runner's own when it may go on, and another's when
-        the key is known already.
+        Returns:
+            The key's record, or why the journal cannot take it. The runner may
+            run the request only if it is the record's runner; otherwise the key
+            was already known.
 
         Raises:
             ObjectUnavailableError: Whether it was written is unknown.
@@ -99,7 +101,7 @@
         return self._submit(key, operation)
 
     def look_up(self, key: str) -> journal.Record | None:
-        """Reads what is known of a key from the object itself.
+        """Reads a key's record from the object API, None for an unknown key.
 
         Raises:
             ObjectUnavailableError: The object API did not answer.
@@ -114,7 +116,7 @@
         state: journal.State,
         answer: journal.Answer | None,
     ) -> None:
-        """Writes what came of a key.
+        """Records the outcome of a key's request.
 
         Raises:
             ObjectUnavailableError: Whether it was written is unknown.
@@ -128,7 +130,7 @@
         self._submit(key, operation)
 
     def dump(self) -> dict[int, Any]:
-        """Returns the slots that this entry wrote, with their sizes."""
+        """Returns the slots that this entry has read or written, by number."""
         shown = {}
         for slot in self._slots:
             stored = slot.stored
@@ -141,7 +143,7 @@
                 }
         return shown
 
-    # Gathering
+    # Batched writes
 
     def _submit(self, key: str, operation: Operation) -> Any:
         slot = self._slots[journal.choose_slot(key, len(self._slots))]
@@ -155,7 +157,10 @@
         return queued.future.result()
 
     def _write_all(self, slot: _Slot) -> None:
-        """Writes batches until the queue is empty; one thread at a time."""
+        """Writes batches until the queue is empty.
+
+        Only one thread at a time writes to a slot.
+        """
         while True:
             with slot.lock:
                 batch = slot.queue[:_MAX_BATCH]
@@ -193,11 +198,12 @@
             except errors.ObjectConflictError:
                 slot.stored = None
             except errors.ObjectUnavailableError:
-                # The write may have taken effect: read before going on.
+                # The write may have taken effect, so the content is read again.
                 slot.stored = None
                 self._read(slot)
         raise errors.ObjectUnavailableError(
-            f"journal slot {slot.number} keeps changing", "try again"
+            f"journal slot {slot.number} keeps changing under writes",
+            "try again",
         )
 
     def _read(self, slot: _Slot) -> client_module.Stored[journal.Segment]:
--- a/src/wayslip/entry/keyed.py
+++ b/src/wayslip/entry/keyed.py
@@ -1,13 +1,13 @@
 """Runs requests that may not be repeated, at most once for each key.
 
-A key goes to its usual owner among the entries, so that retries through
-other entries join the first call and get its whole answer. The owner is not
-what keeps the promise: a record that was conditionally written before the
-request is forwarded is (`Journal`), or, for an issued key, the memory of the
-one process that may run it.
-
-`not-run` speaks of the key and not of one call, so it is only said when the
-record proves that no call with the key ran.
+Each key has an owner among the entries, to which the others forward its
+requests. Retries through any entry so join the first call and get its complete
+answer. Ownership alone does not guarantee at most one run. That is guaranteed
+by a record that is written conditionally before the request runs (`Journal`)
+or, for an issued key, by the memory of the one process that may run it.
+
+The outcome `not-run` refers to the key and not to a single call, so it is
+returned only if the record proves that no call with the key ran.
 """
 
 from collections.abc import Callable
@@ -46,22 +46,22 @@
 
 
 class Guard(Protocol):
-    """Decides whether this process may run a key, and keeps what came of it."""
+    """Decides whether this process may run a key's request."""
 
     def start(self) -> "Permit | messages.Forwarded":
-        """Returns a permit to run, or the answer without running."""
+        """Returns a permit to run, or an answer if the request may not run."""
 
 
 class Permit(Protocol):
-    """The right to run a key once."""
+    """The right to run a key's request once."""
 
     def finish(self, answer: messages.Forwarded) -> None:
-        """Keeps the answer."""
+        """Records the answer for retries."""
 
 
 @dataclasses.dataclass(frozen=True)
 class _KeyedCall:
-    """A request with the digests that name it."""
+    """A keyed request, the digest of its key and its fingerprint."""
 
     request: messages.Forward
     digest: str
@@ -100,27 +100,33 @@
 
     @property
     def active(self) -> int:
-        """Keys that run now."""
+        """Number of keys whose requests run now."""
         return len(self._running)
 
-    # The door
+    # Callers' requests
 
     def serve(self, request: messages.Forward) -> messages.Forwarded:
-        """Answers a caller's request, through its key's owner."""
+        """Answers a caller's request, through its key's owner.
+
+        Raises:
+            BadRequestError: The key was issued to another caller.
+        """
         caller, key = request.caller, request.key
         token = tokens.open_key(self._token_key, caller, key)
         if token is not None:
             return self._serve_issued(request, token)
         if key.startswith("issued-"):
             raise errors.BadRequestError(
-                "the issued key is not this caller's", "ask POST /v1/keys"
+                "the issued key is not this caller's",
+                "get keys from POST /v1/keys",
             )
         owner = self._find_owner(request)
         if owner is not None:
             try:
                 return self._forward(owner, request)
             except errors.WayslipError as e:
-                # The journal keeps this safe even if the owner runs it.
+                # Even if the owner runs the request, the journal prevents a
+                # second run.
                 logs.event(
                     _LOG, "owner_lost", owner=owner.name, reason=e.reason
                 )
@@ -145,7 +151,7 @@
         return self._node.call(member, request, messages.Forwarded, timeout)
 
     def serve_here(self, request: messages.Forward) -> messages.Forwarded:
-        """Answers a request in this process; retries of its key join it."""
+        """Answers a request in this process; retries of its key share a run."""
         digest = journal.digest_key(request.caller, request.key)
         call = _KeyedCall(request, digest, _fingerprint(request))
         token = tokens.open_key(self._token_key, request.caller, request.key)
@@ -184,7 +190,9 @@
         try:
             fingerprint, answer = future.result(call.request.seconds_left)
         except concurrent.futures.TimeoutError:
-            return _answer_unknown("the first call with this key still runs")
+            return _answer_unknown(
+                "the first call with this key is still running"
+            )
         if fingerprint != call.fingerprint:
             return _answer_reused()
         return answer
@@ -201,19 +209,19 @@
             )
         except Exception:
             _LOG.exception("keyed_request_failed")
-            answer = _answer_unknown("the entry failed while it ran")
+            answer = _answer_unknown("the entry failed while the request ran")
         self._metrics.count("keyed", outcome=answer.outcome)
         permit.finish(answer)
         return answer
 
-    # Late results
+    # Deferred journal writes
 
     def defer(self, task: Callable[[], None]) -> None:
-        """Has a result written once the object API is back."""
+        """Queues a write to be retried until the object API answers."""
         try:
             self._deferred.put_nowait(task)
         except queue.Full:
-            # The record stays `started`: later retries get `unknown`.
+            # The record stays `started`, so later retries get `unknown`.
             self._metrics.count("keyed_results_lost")
 
     def _run_deferred(self) -> None:
@@ -254,7 +262,7 @@
         if f"{token.member}#{token.boot}" == self._node.process:
             return self.serve_here(request)
         member = self._node.find(token.member)
-        gone = "the entry that issued the key is gone or cut off"
+        gone = "the entry that issued the key has stopped or is unreachable"
         if member is None:
             return _answer_unknown(gone)
         try:
@@ -269,13 +277,15 @@
         if token is not None:
             issuer = f"{token.member}#{token.boot}"
             if issuer != self._node.process:
-                return _answer_unknown("the entry that issued the key is gone")
+                return _answer_unknown(
+                    "the entry that issued the key has stopped"
+                )
         return self.serve_here(message)
 
 
 @dataclasses.dataclass(frozen=True)
 class _IssuedGuard:
-    """Guards a key by this process's memory."""
+    """Guards an issued key by this process's memory."""
 
     keyed: Keyed
     serial: int
@@ -322,11 +332,11 @@
         try:
             record = keyed._journal.start(digest, self.call.fingerprint, runner)
             if _is_unsettled(record, runner):
-                # The copy may be old; the object itself decides.
+                # The local copy may be out of date.
                 record = keyed._journal.look_up(digest) or record
         except errors.ObjectUnavailableError as e:
-            # It was not run and this runner never will. If the start was
-            # written all the same, that is told to the record later.
+            # This runner has not run the request and never will. The start may
+            # have been written nevertheless, so `not-run` is recorded later.
             permit = _JournalPermit(keyed, digest, runner)
             keyed.defer(lambda: permit.write(journal.State.NOT_RUN, None))
             return _answer_unknown(
@@ -354,12 +364,14 @@
         try:
             return self.keyed._forward(member, self.call.request)
         except errors.WayslipError:
-            return _answer_unknown("the entry that runs this key is cut off")
+            return _answer_unknown(
+                "the entry that runs this key is unreachable"
+            )
 
 
 @dataclasses.dataclass(frozen=True)
 class _JournalPermit:
-    """The right to run a key, held by the runner of its record."""
+    """The right to run a key's request, held by its record's runner."""
 
     keyed: Keyed
     digest: str
@@ -382,7 +394,7 @@
     def write(
         self, state: journal.State, answer: journal.Answer | None
     ) -> None:
-        """Writes the result into the record.
+        """Writes the result to the record.
 
         Raises:
             ObjectUnavailableError: Whether it was written is unknown.
@@ -407,7 +419,9 @@
 
 def _replay(answer: journal.Answer) -> messages.Forwarded:
     if answer.body is None:
-        text = b'{"error": {"message": "it ran; its answer is not kept"}}'
+        text = (
+            b'{"error": {"message": "it ran, but its answer was not stored"}}'
+        )
         return messages.Forwarded(410, web.RAN, "application/json", text)
     return messages.Forwarded(
         answer.status, web.RAN, answer.content_type, answer.body
@@ -425,7 +439,7 @@
 
 
 def _answer_unknown(detail: str) -> messages.Forwarded:
-    text = f"{detail}; ask again with the same key to learn what came of it"
+    text = f"{detail}; retry with the same key to get the outcome"
     return _forwarded(answers.answer_unknown(text), web.UNKNOWN)
 
 
--- a/src/wayslip/entry/prefixes.py
+++ b/src/wayslip/entry/prefixes.py
@@ -1,8 +1,9 @@
-"""Which prompt prefixes were sent to which engines, a bounded memory.
+"""A bounded index of the prompt prefixes sent to each engine.
 
-The memory follows this entry's own decisions and is not told what an engine
-evicts, so an engine's blocks are forgotten oldest first at about the rate its
-cache would; see the paper cited in `wayslip.decisions.routing`.
+The index follows this entry's own decisions and does not learn what an engine
+evicts. It therefore drops each engine's least recently sent blocks, which
+approximates the engine's cache; see the paper cited in
+`wayslip.decisions.routing`.
 """
 
 import collections
@@ -14,7 +15,7 @@
 
 
 class PrefixIndex:
-    """Block hashes by engine. Safe for many threads."""
+    """Prompt block hashes by engine. Safe for many threads."""
 
     def __init__(self, blocks_per_engine: int = _BLOCKS_PER_ENGINE) -> None:
         self._limit = blocks_per_engine
@@ -22,7 +23,7 @@
         self._blocks: dict[str, collections.OrderedDict[int, None]] = {}
 
     def count_cached(self, engine: str, blocks: tuple[int, ...]) -> int:
-        """Returns the tokens of a prompt's prefix that an engine may hold."""
+        """Returns the tokens of a prompt's prefix that an engine may cache."""
         known = self._blocks.get(engine)
         if not known:
             return 0
@@ -34,7 +35,7 @@
         return length * routing.BLOCK_CHARS // routing.CHARS_PER_TOKEN
 
     def note_sent(self, engine: str, blocks: tuple[int, ...]) -> None:
-        """Remembers that a prompt went to an engine."""
+        """Records that a prompt was sent to an engine."""
         with self._lock:
             known = self._blocks.setdefault(engine, collections.OrderedDict())
             for block in blocks:
@@ -44,6 +45,6 @@
                 known.popitem(last=False)
 
     def forget(self, engine: str) -> None:
-        """Forgets an engine that restarted or left."""
+        """Removes an engine that restarted or left."""
         with self._lock:
             self._blocks.pop(engine, None)
--- a/src/wayslip/entry/relay.py
+++ b/src/wayslip/entry/relay.py
@@ -1,13 +1,13 @@
 """Relays streams of server-sent events from engines to callers.
 
-One thread serves all streams with non-blocking sockets. A thread for each
-stream was the first design; at 560 streams their wake-ups alone took more
-processor time than the work (docs/design/relay.md has both measurements).
-
-A stream ends well only after the engine's `[DONE]`. When the engine's side
-breaks off before, the stream is taken up again after the last event that was
-passed on; where that fails, the caller gets an error event and a connection
-that ends without the closing chunk, so a short answer never looks whole.
+One thread serves all streams with non-blocking sockets. With a thread for each
+stream, at 560 streams the wake-ups alone take more processor time than the work
+(docs/design/relay.md has the measurements).
+
+A stream is complete only after the engine's `[DONE]`. If the engine's
+connection breaks before that, the stream is resumed after the last event that
+was forwarded. If that fails, the caller gets an error event and its connection
+ends without the closing chunk, so a truncated answer never looks complete.
 """
 
 import collections
@@ -58,14 +58,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class StreamSpec:
-    """What the relay needs to know of a stream.
+    """Parameters of a relayed stream.
 
     Attributes:
-        token: Prefix of the event ids that the caller gets.
+        token: Prefix of the event ids sent to the caller.
         after: Number of the last event that the caller has, -1 for none.
-        resume: Asks the engine for the events after a number.
-        on_end: Called once, from the relay's thread.
-        started: When the request came in, steady seconds.
+        resume: Requests the events after a given number from the engine.
+        on_end: Called once when the stream ends, in the relay's thread.
+        started: When the request came in, monotonic seconds.
     """
 
     token: str
@@ -76,7 +76,7 @@
 
 
 class _Body:
-    """Decodes the body of an answer whose head was read elsewhere."""
+    """Decodes the body of an answer whose head has already been read."""
 
     def __init__(self, headers: Any) -> None:
         self.data: list[bytes] = []
@@ -90,15 +90,15 @@
         self._parser.feed_data(head + b"\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Called by the parser."""
+        """Collects decoded bytes; called by the parser."""
         self.data.append(data)
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
+        """Records the end of the body; called by the parser."""
         self.is_complete = True
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the body bytes among bytes from the wire."""
+        """Returns the body bytes decoded from bytes of the connection."""
         self._parser.feed_data(data)
         body = b"".join(self.data)
         self.data.clear()
@@ -106,7 +106,7 @@
 
 
 class _Stream:
-    """One stream; touched by the relay's thread only."""
+    """The state of one stream, used only by the relay's thread."""
 
     def __init__(
         self, caller: socket.socket, caller_owner: Any, spec: StreamSpec
@@ -128,7 +128,7 @@
 
 
 class Relay:
-    """Serves all streams of an entry."""
+    """Relays all streams of an entry."""
 
     def __init__(
         self, metrics: metrics_module.Metrics, buffer_bytes: int
@@ -155,7 +155,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the thread; streams still open are cut."""
+        """Stops the thread. Open streams are not completed."""
         self._stopping.set()
         self._wake()
         self._thread.join(timeout=2.0)
@@ -163,7 +163,7 @@
 
     @property
     def active(self) -> int:
-        """Streams under way."""
+        """Number of open streams and scheduled tasks."""
         return len(self._streams) + len(self._tasks)
 
     def add(
@@ -173,14 +173,14 @@
         upstream: exchange.Exchange,
         spec: StreamSpec,
     ) -> None:
-        """Takes over a stream whose heads were read and sent.
+        """Relays a stream after its answer's head was read and forwarded.
 
         May be called from any thread.
         """
         stream = _Stream(caller, caller_owner, spec)
         self._schedule(lambda: self._begin(stream, upstream))
 
-    # The thread
+    # The relay's thread
 
     def _schedule(self, task: Callable[[], None]) -> None:
         self._tasks.append(task)
@@ -190,7 +190,7 @@
         try:
             self._wake_out.send(b"w")
         except OSError:
-            # A full pipe wakes the thread as well.
+            # A full socket buffer wakes the thread as well.
             pass
 
     def _run(self) -> None:
@@ -202,7 +202,7 @@
                 try:
                     self._serve(key.data, key.fileobj, mask)
                 except Exception:
-                    # One stream's fault must not end the others.
+                    # An error in one stream must not end the others.
                     _LOG.exception("stream_failed")
                     self._end(key.data, End.BROKEN)
 
@@ -212,7 +212,8 @@
         except BlockingIOError:
             pass
         while self._tasks:
-            # The task counts as active until it is a stream.
+            # The task stays queued while it runs, so that a new stream always
+            # counts as active.
             try:
                 self._tasks[0]()
             except Exception:
@@ -308,12 +309,12 @@
         stream.upstream_owner.close()
         stream.upstream = stream.upstream_owner = None
 
-    # A broken engine stream
+    # Broken engine connections
 
     def _start_resume(self, stream: _Stream) -> None:
-        """Takes the stream up again in another thread, since that blocks."""
+        """Resumes the stream in another thread, since that blocks."""
         self._detach_upstream(stream)
-        # Half an event was not passed on; the engine sends it again whole.
+        # An incomplete event was not forwarded; the engine sends it again.
         stream.partial = b""
         self._metrics.count("streams_broken")
         after = stream.last_event
@@ -347,8 +348,9 @@
         text = json.dumps(
             {
                 "error": {
-                    "message": "the engine broke off and the stream could not"
-                    " be taken up again; the answer is not whole, ask again",
+                    "message": "the connection to the engine failed and the"
+                    " stream could not be resumed; the answer is incomplete,"
+                    " send the request again",
                     "type": "stream_broken",
                 }
             }
@@ -385,7 +387,7 @@
             self._selector.modify(stream.caller, mask, stream)
         if stream.upstream is None:
             return
-        # A caller that reads slowly stops its own engine stream only.
+        # A caller that reads slowly pauses only its own engine stream.
         is_full = len(stream.out) > self._buffer_bytes
         if is_full and not stream.is_paused:
             self._selector.unregister(stream.upstream)
@@ -402,8 +404,8 @@
             return
         except OSError:
             data = b""
-        # A caller has nothing to say while its answer runs: data that comes
-        # early is dropped, since the connection ends with the stream.
+        # The connection ends with the stream, so data that the caller sends
+        # during the stream is discarded.
         if not data:
             self._end(stream, End.HUNG_UP)
 
--- a/src/wayslip/entry/routes.py
+++ b/src/wayslip/entry/routes.py
@@ -1,4 +1,4 @@
-"""Callers' paths: who calls, what for, and who answers."""
+"""The callers' HTTP paths: authentication and dispatch of requests."""
 
 import json
 import re
@@ -46,12 +46,12 @@
         self._by_name = {c.name: c for c in settings.callers}
         self.keyed: keyed_module.Keyed | None = None
         self.is_draining = False
-        # Requests in this class now, for the planned stop.
+        # Requests being answered now; the graceful stop waits for them.
         self.active = 0
         self._lock = threading.Lock()
 
     def answer(self, request: web.Request) -> web.Answer | None:
-        """Answers a caller; None when a stream was handed over."""
+        """Answers a request; returns None if the relay streams the answer."""
         started = clock.now()
         with self._lock:
             self.active += 1
@@ -111,7 +111,7 @@
             case "POST", "/v1/keys":
                 return self._issue_keys(request, caller)
         raise errors.BadRequestError(
-            f"there is no {request.method} {path}", "see the README"
+            f"unknown path: {request.method} {path}", "see the README"
         )
 
     # Completions
@@ -127,8 +127,8 @@
             return self._completions.serve(request, job)
         if job.is_stream:
             raise errors.BadRequestError(
-                "Idempotency-Key and stream do not go together",
-                "ask without stream, or resume streams by Last-Event-ID",
+                "Idempotency-Key cannot be combined with stream",
+                "send it without stream, or resume streams by Last-Event-ID",
             )
         body = web.answer_json(200, dict(job.body)).body
         forward = messages.Forward(
@@ -184,7 +184,7 @@
         if service.requires_key and not may_repeat:
             raise errors.BadRequestError(
                 f"{request.method} to {name} needs an Idempotency-Key",
-                "send one that is new for each request",
+                "send a new key with each request",
             )
         job = services_module.Job(
             caller,
@@ -211,7 +211,7 @@
         text = request.query.get("count", "1")
         if not text.isdecimal() or not 1 <= int(text) <= _MAX_ISSUED:
             raise errors.BadRequestError(
-                "count is no number from 1 to 1000", "send ?count=10"
+                "count is not a number from 1 to 1000", "send ?count=10"
             )
         keys = self.keyed.issue(caller.name, int(text))
         if isinstance(keys, refusals.Refusal):
@@ -221,7 +221,11 @@
         return web.Answer(200, answer.body, headers=headers)
 
     def execute(self, forward: messages.Forward) -> messages.Forwarded:
-        """Runs a keyed request whose record says that it may start."""
+        """Runs a keyed request whose record permits it.
+
+        Raises:
+            BadRequestError: The caller is unknown to this entry.
+        """
         caller = self._by_name.get(forward.caller)
         if caller is None:
             raise errors.BadRequestError(
@@ -271,15 +275,16 @@
 
 
 def read_key(request: web.Request) -> str:
-    """Returns the request's Idempotency-Key, empty for none.
+    """Returns the request's Idempotency-Key, an empty string for none.
 
     Raises:
-        BadRequestError: It is too long or has blanks or control characters.
+        BadRequestError: The key is longer than 400 characters, or has
+            characters other than visible ASCII.
     """
     key = request.header("Idempotency-Key")
     if key and not _KEY.fullmatch(key):
         raise errors.BadRequestError(
-            "Idempotency-Key is no visible ASCII text of 1 to 400 characters",
-            "send such as a UUID",
+            "Idempotency-Key is not 1 to 400 visible ASCII characters",
+            "send, for example, a UUID",
         )
     return key
--- a/src/wayslip/entry/services.py
+++ b/src/wayslip/entry/services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services, some of which may not be repeated."""
+"""Calls to plain services, including calls that may not be repeated."""
 
 import dataclasses
 
@@ -20,14 +20,20 @@
 from wayslip.peers import messages
 from wayslip.peers import node as node_module
 
-# Predicted delay of a service; its targets are the deadline's matter.
+# Delay that admission assumes for every service.
 _SERVICE_DELAY_SECONDS = 0.01
 _PROMPT = view_module.Prompt(1)
 
 
 @dataclasses.dataclass(frozen=True)
 class Job:
-    """A call to a service; deadline is steady seconds."""
+    """A call to a service.
+
+    Attributes:
+        deadline: Monotonic seconds.
+        may_repeat: Whether it may be retried after an attempt that may have
+            run.
+    """
 
     caller: settings_module.Caller
     service: configuration.Service
@@ -58,7 +64,7 @@
         self._admit = admission.POLICIES.get(settings.admission.policy)
 
     def find(self, name: str) -> configuration.Service | refusals.Refusal:
-        """Returns a service by name."""
+        """Returns a service by name, or a refusal if it is unknown."""
         service = self._node.holder.catalog.services.get(name)
         if service is not None:
             return service
@@ -68,7 +74,7 @@
         )
 
     def run(self, job: Job) -> web.Answer:
-        """Calls endpoints until one answers or the verdict is final."""
+        """Calls endpoints until one answers or the verdict is not to retry."""
         with self._in_flight.counted(job.caller.name):
             return self._run(job)
 
@@ -157,8 +163,8 @@
         return answers.answer_refusal(
             refusals.Refusal(
                 refusals.Reason.NO_ENDPOINT,
-                "no endpoint of the service takes work;"
-                " come back after Retry-After",
+                "no endpoint of the service accepts requests;"
+                " retry after Retry-After",
                 1.0,
             )
         )
@@ -166,13 +172,13 @@
     def _answer_unknown(self) -> web.Answer:
         self._metrics.count("unknown")
         return answers.answer_unknown(
-            "the endpoint broke off after the call may have run;"
-            " look whether it did before asking again"
+            "the connection to the endpoint failed after the call may have run;"
+            " check whether it did before sending it again"
         )
 
 
 def to_forwarded(answer: web.Answer) -> messages.Forwarded:
-    """Returns a whole answer as a message between entries."""
+    """Returns a complete answer as a message between entries."""
     return messages.Forwarded(
         answer.status,
         answer.headers.get(web.OUTCOME, web.RAN),
@@ -183,7 +189,7 @@
 
 
 def from_forwarded(forwarded: messages.Forwarded) -> web.Answer:
-    """Returns the answer to a caller of a message between entries."""
+    """Returns the answer to a caller from a message between entries."""
     headers = {web.OUTCOME: forwarded.outcome}
     if forwarded.retry_after:
         headers["Retry-After"] = str(int(forwarded.retry_after))
--- a/src/wayslip/entry/tokens.py
+++ b/src/wayslip/entry/tokens.py
@@ -1,8 +1,8 @@
 """Signed tokens that callers carry: resume ids and issued keys.
 
 A token binds its content to one caller, so it can neither be forged nor used
-by another. The offset in a resume id is not signed: it only chooses how much
-of the caller's own stream comes again.
+by another caller. The offset in a resume id is not signed, since it only
+selects how much of the caller's own stream is sent again.
 """
 
 import base64
@@ -18,8 +18,8 @@
 
     Attributes:
         endpoint: The engine's name.
-        request_id: The request's id at the engine.
-        entry: Name of the member that relayed it first.
+        request_id: The id under which the engine knows the request.
+        entry: Name of the entry that relayed the stream first.
     """
 
     endpoint: str
@@ -29,13 +29,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class IssuedKey:
-    """A key that only its issuer runs.
+    """An idempotency key whose request only its issuer runs.
 
     Attributes:
         member: Name of the issuing member.
-        boot: Its start; another start of it is another issuer.
-        serial: Number of the key at the issuer.
-        expires: When it ends, seconds of the issuer's steady clock.
+        boot: The issuing process's start; a restarted member is another issuer.
+        serial: The issuer's number for the key.
+        expires: When the key expires, seconds of the issuer's monotonic clock.
     """
 
     member: str
@@ -72,7 +72,7 @@
 
 
 def seal_stream(key: bytes, caller: str, token: StreamToken) -> str:
-    """Returns the text of a stream token."""
+    """Returns the signed text of a stream token."""
     fields = (token.endpoint, token.request_id, token.entry)
     return _seal(key, "stream", caller, fields)
 
@@ -80,7 +80,7 @@
 def open_event_id(
     key: bytes, caller: str, event_id: str
 ) -> tuple[StreamToken, int] | None:
-    """Returns the stream and the number of an event id, None if it is false."""
+    """Returns an event id's stream and event number, None if it is invalid."""
     text, dot, offset = event_id.strip().rpartition(".")
     if not dot or not offset.isascii() or not offset.isdecimal():
         return None
@@ -91,7 +91,7 @@
 
 
 def seal_key(key: bytes, caller: str, issued: IssuedKey) -> str:
-    """Returns the text of an issued key."""
+    """Returns the signed text of an issued key."""
     fields = (
         issued.member,
         str(issued.boot),
@@ -102,7 +102,7 @@
 
 
 def open_key(key: bytes, caller: str, text: str) -> IssuedKey | None:
-    """Returns an issued key, None for any other key."""
+    """Returns an issued key, None if the text is not one of this caller's."""
     if not text.startswith("issued-"):
         return None
     fields = _open(key, "key", caller, text.removeprefix("issued-"))
--- a/src/wayslip/entry/view.py
+++ b/src/wayslip/entry/view.py
@@ -1,8 +1,9 @@
-"""What an entry knows of the endpoints, and what it has sent them.
+"""An entry's view of the endpoints and of the load sent to them.
 
-Load reports lag, so what this entry sent after asking for the last report,
-and what peers say they sent, is added. Signs that an endpoint leaves come from
-the platform's list, reports, refusals and peers; see `decisions.health`.
+Load reports lag, so the view adds the load that this entry sent after it
+requested the last report, and the load that peers announced. That an endpoint
+is leaving is learnt from the platform's list, reports, refusals and peers; see
+`decisions.health`.
 """
 
 from collections.abc import Sequence
@@ -34,30 +35,33 @@
 _POLL_THREADS = 8
 _REPORT_SECONDS = 1.0
 _LEAVING_TTL = 30.0
-# Peers tell what they sent in one sum; it counts as of this rank.
+# Peers announce the sum of what they sent over all ranks. It counts as load of
+# this rank.
 _PEER_SENT_RANK = 1
 
 
 @dataclasses.dataclass
 class _Tracked:
-    """The state of one endpoint; guarded by the view's lock."""
+    """The state of one endpoint, guarded by the view's lock."""
 
     endpoint: kinds.Endpoint
     health: health_module.Health = health_module.Health()
     report: engine_module.Report | None = None
     asked_at: float = 0.0
     in_flight: int = 0
-    # Prefill sent since the last report was asked for, oldest first.
+    # Prefill sent since the last report was requested, oldest first.
     sent: list[routing.Sent] = dataclasses.field(default_factory=list)
     is_polling: bool = False
 
 
 @dataclasses.dataclass(frozen=True)
 class Prompt:
-    """What routing needs to know of a request.
+    """The properties of a request that routing uses.
 
     Attributes:
-        rank: The rank of its class; lower ranks go first at an engine.
+        tokens: Length of the prompt.
+        blocks: Hashes of the prompt's blocks.
+        rank: Rank of the request's class; engines serve lower ranks first.
     """
 
     tokens: int
@@ -66,7 +70,7 @@
 
 
 class EndpointView:
-    """All endpoints as one entry sees them. Safe for many threads."""
+    """All endpoints as known to one entry. Safe for many threads."""
 
     def __init__(
         self,
@@ -81,7 +85,7 @@
         self._dialect = engine_module.DIALECTS.get("openai")
         self._lock = threading.Lock()
         self._tracked: dict[str, _Tracked] = {}
-        # When an endpoint last left, or went from the list.
+        # When an endpoint was last found leaving or missing from the list.
         self._lost_at = float("-inf")
         self.prefixes = prefixes.PrefixIndex()
         self._pool = concurrent.futures.ThreadPoolExecutor(
@@ -96,31 +100,34 @@
         )
 
     def start(self) -> None:
-        """Starts to watch the list and to ask for reports."""
+        """Starts to watch the list and to poll reports."""
         self.list.start()
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the threads."""
+        """Stops the threads."""
         self._stopping.set()
         self.list.stop()
         self._pool.shutdown(wait=False, cancel_futures=True)
 
-    # Looking up
+    # Queries
 
     def address(self, name: str) -> str | None:
-        """Returns an endpoint's address."""
+        """Returns an endpoint's address, None for an unknown endpoint."""
         with self._lock:
             tracked = self._tracked.get(name)
             return tracked.endpoint.address if tracked else None
 
     def endpoints(self) -> tuple[kinds.Endpoint, ...]:
-        """Returns all endpoints, for peers that start in an outage."""
+        """Returns all endpoints.
+
+        Peers that start while the object API is unreachable ask for them.
+        """
         with self._lock:
             return tuple(t.endpoint for t in self._tracked.values())
 
     def in_flight(self, name: str) -> int:
-        """Returns this entry's requests at an endpoint."""
+        """Returns the number of this entry's requests at an endpoint."""
         with self._lock:
             tracked = self._tracked.get(name)
             return tracked.in_flight if tracked else 0
@@ -134,7 +141,13 @@
     ) -> list[routing.Candidate]:
         """Returns the engines that hold all items and may get a request.
 
-        Those are the usable ones, or the suspect ones where there is none.
+        These are the usable engines or, if there are none, the suspect ones.
+
+        Args:
+            names: The engines to consider.
+            items: The items that an engine must hold.
+            prompt: The request's properties.
+            excluded: Engines to leave out.
         """
         peer_sent = self._find_peer_sent()
         peers = max(len(self._node.live(membership.Role.ENTRY)) - 1, 0)
@@ -208,7 +221,10 @@
         )
 
     def _find_peer_sent(self) -> dict[str, list[routing.Sent]]:
-        """Returns what peers sent to each engine, by local arrival time."""
+        """Returns the prefill that peers announced, by engine.
+
+        Its times are those at which the announcements arrived here.
+        """
         peer_sent: dict[str, list[routing.Sent]] = {}
         for fact, at in self._node.arrivals(facts.Topic.IN_FLIGHT):
             if fact.origin != self._node.identity.name:
@@ -217,7 +233,7 @@
         return peer_sent
 
     def usable(self, names: Sequence[str]) -> list[str]:
-        """Returns the endpoints among some that may get new work."""
+        """Returns those of the named endpoints that may get new requests."""
         with self._lock:
             return [
                 n
@@ -226,11 +242,11 @@
             ]
 
     def is_engine_holding(self, names: Sequence[str], item: str) -> bool:
-        """Whether an engine among some holds an item and may get a request."""
+        """Whether one of the engines holds an item and may get requests."""
         return bool(self.candidates(names, (item,), Prompt(1), frozenset()))
 
     def dump(self) -> dict[str, object]:
-        """Returns the state of each endpoint, for the dump."""
+        """Returns the state of each endpoint by name. Ages are in seconds."""
         now = clock.now()
         with self._lock:
             return {
@@ -245,7 +261,7 @@
                 for name, t in self._tracked.items()
             }
 
-    # What this entry does
+    # Requests of this entry
 
     def begin(self, name: str, prompt: Prompt) -> None:
         """Counts a request that is about to be sent."""
@@ -261,18 +277,18 @@
         self.prefixes.note_sent(name, prompt.blocks)
 
     def end(self, name: str) -> None:
-        """Counts a request that ended, however it did."""
+        """Removes a request that ended, with or without success."""
         with self._lock:
             tracked = self._tracked.get(name)
             if tracked is not None:
                 tracked.in_flight -= 1
 
     def note_failure(self, name: str) -> None:
-        """Notes that an endpoint took no connection or broke one off."""
+        """Records that an endpoint refused or broke a connection."""
         self._change(name, lambda h: h.fail())
 
     def note_missing(self, name: str, item: str) -> None:
-        """Notes that an engine does not hold an item its report shows."""
+        """Records that an engine lacks an item that its report shows."""
         with self._lock:
             tracked = self._tracked.get(name)
             if tracked is None or tracked.report is None:
@@ -281,17 +297,18 @@
             tracked.report = dataclasses.replace(tracked.report, resident=held)
 
     def lacks(self, name: str, item: str) -> bool:
-        """Whether a listed engine is known not to hold an item."""
+        """Whether an engine is known, by its last report, to lack an item."""
         with self._lock:
             tracked = self._tracked.get(name)
             report = tracked.report if tracked is not None else None
             return report is not None and item not in report.resident
 
     def is_report_due(self, names: Sequence[str]) -> bool:
-        """Whether an endpoint was not asked for a report since the last loss.
+        """Whether the named endpoints include one with an outdated report.
 
-        An endpoint that leaves, or goes from the list, may have been the only
-        one known to hold a model that another has loaded since its report.
+        That is a usable endpoint whose last report was requested before an
+        endpoint last left. The endpoint that left may have been the only known
+        holder of a model that another has loaded since its own report.
         """
         with self._lock:
             return any(
@@ -301,16 +318,16 @@
             )
 
     def note_refusal(self, name: str) -> None:
-        """Notes that an endpoint refused work because it leaves."""
+        """Records that an endpoint refused a request because it is leaving."""
         self._mark_leaving(name, health_module.LeavingSource.REFUSAL)
 
-    # Signs
+    # Health changes
 
-    def _change(self, name: str, step) -> None:  # type: ignore[no-untyped-def]
+    def _change(self, name: str, transition) -> None:  # type: ignore[no-untyped-def]
         with self._lock:
             tracked = self._tracked.get(name)
             if tracked is not None:
-                tracked.health = step(tracked.health)
+                tracked.health = transition(tracked.health)
 
     def _mark_leaving(
         self, name: str, source: health_module.LeavingSource
@@ -357,7 +374,7 @@
             self._change(name, lambda h: h.note_listed_live())
 
     def update_endpoint(self, endpoint: kinds.Endpoint) -> None:
-        """Takes in an endpoint of the list, from the platform or a peer."""
+        """Adds or replaces an endpoint, as listed by the platform or a peer."""
         with self._lock:
             tracked = self._tracked.get(endpoint.name)
             if tracked is None:
@@ -377,7 +394,7 @@
                 for tracked in due:
                     self._pool.submit(self._poll, tracked)
             except RuntimeError:
-                # The pool was shut down: this process is stopping.
+                # The pool is shut down because this process is stopping.
                 return
             self._publish_sent()
 
@@ -417,7 +434,7 @@
             self.prefixes.forget(tracked.endpoint.name)
 
     def _publish_sent(self) -> None:
-        """Tells peers what prefill this entry sent in the last period."""
+        """Announces the prefill sent by this entry in the last poll period."""
         since = clock.now() - self._settings.routing.poll_seconds
         with self._lock:
             totals = {
@@ -442,10 +459,10 @@
 def resolve_items(
     view: EndpointView, target: catalogs.Target
 ) -> tuple[tuple[str, ...], str]:
-    """Returns the items and the engine's model name that can answer now.
+    """Returns the items to use now and the model's name at the engine.
 
-    A model whose version changes is answered by the old version until the
-    new one is resident.
+    While a model's version is being changed, the old version answers until an
+    engine that may get requests holds the new one.
     """
     if target.fallback and not view.is_engine_holding(
         target.engines, target.items[0]
