--- a/src/wayslip/endpoints/engine.py
+++ b/src/wayslip/endpoints/engine.py
@@ -17,7 +17,7 @@
 from wayslip.decisions import ledger
 from wayslip.endpoints import exchange
 
-_REPORT_BYTES = 1_000_000
+_MAX_REPORT_BYTES = 1_000_000
 REQUEST_ID = "X-Request-Id"
 NOT_STARTED = "X-Not-Started"
 
@@ -180,7 +180,7 @@
     headers = {"Content-Type": "application/json"} if body else {}
     call = exchange.Call(address, method, path, headers, body, timeout)
     answer = exchange.begin(call)
-    data = answer.read(_REPORT_BYTES)
+    data = answer.read(_MAX_REPORT_BYTES)
     if answer.status >= 400:
         raise errors.EndpointUnclearError(
             f"{address}{path} answered {answer.status}",
--- a/src/wayslip/endpoints/exchange.py
+++ b/src/wayslip/endpoints/exchange.py
@@ -18,7 +18,7 @@
 from wayslip import addresses
 from wayslip import errors
 
-_CONNECT_SECONDS = 1.0
+_CONNECT_TIMEOUT_SECONDS = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
@@ -123,7 +123,7 @@
     """
     host, port = addresses.split_address(call.address)
     conn = connection.HTTPConnection(
-        host, port, timeout=min(call.timeout, _CONNECT_SECONDS)
+        host, port, timeout=min(call.timeout, _CONNECT_TIMEOUT_SECONDS)
     )
     try:
         conn.connect()
--- a/src/wayslip/endpoints/service.py
+++ b/src/wayslip/endpoints/service.py
@@ -7,7 +7,7 @@
 from wayslip import errors
 from wayslip.endpoints import exchange
 
-_REPORT_BYTES = 10_000
+_MAX_REPORT_BYTES = 10_000
 
 
 @dataclasses.dataclass(frozen=True)
@@ -32,7 +32,7 @@
     """
     call = exchange.Call(address, "GET", "/report", {}, b"", timeout)
     answer = exchange.begin(call)
-    data = answer.read(_REPORT_BYTES)
+    data = answer.read(_MAX_REPORT_BYTES)
     try:
         return json.loads(data).get("state") == "serving"
     except (ValueError, AttributeError) as e:
--- a/src/wayslip/entry/answers.py
+++ b/src/wayslip/entry/answers.py
@@ -21,7 +21,7 @@
     429: "rate_limit_error",
 }
 _UNAVAILABLE = 503
-_DEFAULT_RETRY_AFTER = 1.0
+_DEFAULT_RETRY_AFTER_SECONDS = 1.0
 
 
 def answer_refusal(
@@ -31,7 +31,7 @@
     status = _STATUS.get(refusal.reason, _UNAVAILABLE)
     headers = {web.OUTCOME: outcome}
     if status in (429, _UNAVAILABLE):
-        seconds = refusal.retry_after or _DEFAULT_RETRY_AFTER
+        seconds = refusal.retry_after or _DEFAULT_RETRY_AFTER_SECONDS
         headers["Retry-After"] = str(math.ceil(seconds))
     return _answer(status, refusal.reason, refusal.detail, headers)
 
--- a/src/wayslip/entry/cancellations.py
+++ b/src/wayslip/entry/cancellations.py
@@ -12,7 +12,7 @@
 from wayslip.entry import tokens
 from wayslip.entry import view as view_module
 
-_CANCEL_SECONDS = 1.0
+_CANCEL_TIMEOUT_SECONDS = 1.0
 
 
 class Cancellations:
@@ -53,7 +53,9 @@
         if address is None:
             return
         try:
-            self._dialect.cancel(address, token.request_id, _CANCEL_SECONDS)
+            self._dialect.cancel(
+                address, token.request_id, _CANCEL_TIMEOUT_SECONDS
+            )
             self._metrics.count("streams_cancelled")
         except errors.WayslipError:
             # Without a cancellation, the engine ends the stream at its token
--- a/src/wayslip/entry/completions.py
+++ b/src/wayslip/entry/completions.py
@@ -29,8 +29,8 @@
 from wayslip.peers import node as node_module
 
 _LOG = logging.getLogger(__name__)
-_NOTIFY_SECONDS = 1.0
-_RESUME_SECONDS = 5.0
+_NOTIFY_TIMEOUT_SECONDS = 1.0
+_RESUME_TIMEOUT_SECONDS = 5.0
 _STREAM_HEADERS = {
     "Content-Type": "text/event-stream",
     "Cache-Control": "no-store",
@@ -311,7 +311,7 @@
                     f"{name} is no longer listed", "send the request again"
                 )
             return self._dialect.resume(
-                address, token.request_id, last, _RESUME_SECONDS
+                address, token.request_id, last, _RESUME_TIMEOUT_SECONDS
             )
 
         def on_end(end: relay_module.End) -> None:
@@ -360,7 +360,7 @@
             return self._answer_gone()
         try:
             upstream = self._dialect.resume(
-                address, token.request_id, after, _RESUME_SECONDS
+                address, token.request_id, after, _RESUME_TIMEOUT_SECONDS
             )
         except errors.EndpointError:
             return answers.answer_unknown(
@@ -391,7 +391,7 @@
                 member,
                 messages_module.Resumed(token.request_id),
                 messages_module.Noted,
-                _NOTIFY_SECONDS,
+                _NOTIFY_TIMEOUT_SECONDS,
             )
         except errors.WayslipError:
             # An entry that has stopped does not cancel the stream.
--- a/src/wayslip/entry/prefixes.py
+++ b/src/wayslip/entry/prefixes.py
@@ -11,13 +11,13 @@
 
 from wayslip.decisions import routing
 
-_BLOCKS_PER_ENGINE = 4096
+_MAX_BLOCKS_PER_ENGINE = 4096
 
 
 class PrefixIndex:
     """Prompt block hashes by engine. Safe for many threads."""
 
-    def __init__(self, blocks_per_engine: int = _BLOCKS_PER_ENGINE) -> None:
+    def __init__(self, blocks_per_engine: int = _MAX_BLOCKS_PER_ENGINE) -> None:
         self._limit = blocks_per_engine
         self._lock = threading.Lock()
         self._blocks: dict[str, collections.OrderedDict[int, None]] = {}
--- a/src/wayslip/entry/view.py
+++ b/src/wayslip/entry/view.py
@@ -33,8 +33,8 @@
 
 _LOG = logging.getLogger(__name__)
 _POLL_THREADS = 8
-_REPORT_SECONDS = 1.0
-_LEAVING_TTL = 30.0
+_REPORT_TIMEOUT_SECONDS = 1.0
+_LEAVING_TTL_SECONDS = 30.0
 # Peers announce the sum of what they sent over all ranks. It counts as load of
 # this rank.
 _PEER_SENT_RANK = 1
@@ -348,7 +348,12 @@
             return
         origin = self._node.identity.name
         fact = facts.Fact(
-            facts.Topic.LEAVING, name, origin, time.time(), 1.0, _LEAVING_TTL
+            facts.Topic.LEAVING,
+            name,
+            origin,
+            time.time(),
+            1.0,
+            _LEAVING_TTL_SECONDS,
         )
         self._node.publish(fact)
 
@@ -412,9 +417,11 @@
         name, address = tracked.endpoint.name, tracked.endpoint.address
         asked_at = clock.now()
         if tracked.endpoint.role is kinds.EndpointRole.SERVICE:
-            serves = service_module.check_serving(address, _REPORT_SECONDS)
+            serves = service_module.check_serving(
+                address, _REPORT_TIMEOUT_SECONDS
+            )
         else:
-            report = self._dialect.report(address, _REPORT_SECONDS)
+            report = self._dialect.report(address, _REPORT_TIMEOUT_SECONDS)
             serves = report.state is engine_module.EngineState.SERVING
             self._record_report(tracked, report, asked_at)
         if not serves:
