--- a/src/wayslip/entry/journal.py
+++ b/src/wayslip/entry/journal.py
@@ -2,8 +2,8 @@
 
 Operations on one slot are queued while a write to it is in progress, and
 written together in the next write, so the object API gets far fewer writes than
-there are requests. After a conflict, an operation is applied again to the newer
-content, so it has to recognise its own effect.
+there are requests. After a conflict or an unanswered write, an operation is
+applied again to newer content, so it has to recognise its own effect.
 """
 
 from collections.abc import Callable
--- a/src/wayslip/entry/keyed.py
+++ b/src/wayslip/entry/keyed.py
@@ -1,10 +1,11 @@
 """Runs requests that may not be repeated, at most once for each key.
 
 Each key has an owner among the entries, to which the others forward its
-requests. Retries through any entry so join the first call and get its complete
-answer. Ownership alone does not guarantee at most one run. That is guaranteed
-by a record that is written conditionally before the request runs (`Journal`)
-or, for an issued key, by the memory of the one process that may run it.
+requests, so that retries through any entry join the first call and get its
+complete answer. Ownership alone does not guarantee at most one run. That is
+guaranteed by a record that is written conditionally before the request runs
+(`Journal`) or, for an issued key, by the memory of the one process that may run
+it.
 
 The outcome `not-run` refers to the key and not to a single call, so it is
 returned only if the record proves that no call with the key ran.
--- a/src/wayslip/entry/prefixes.py
+++ b/src/wayslip/entry/prefixes.py
@@ -1,8 +1,8 @@
 """A bounded index of the prompt prefixes sent to each engine.
 
 The index follows this entry's own decisions and does not learn what an engine
-evicts. It therefore drops each engine's least recently sent blocks, which
-approximates the engine's cache; see the paper cited in
+evicts. It therefore drops each engine's least recently sent blocks at about the
+rate at which the engine's cache would; see the paper cited in
 `wayslip.decisions.routing`.
 """
 
--- a/src/wayslip/entry/relay.py
+++ b/src/wayslip/entry/relay.py
@@ -173,7 +173,7 @@
         upstream: exchange.Exchange,
         spec: StreamSpec,
     ) -> None:
-        """Relays a stream after its answer's head was read and forwarded.
+        """Adds a stream after the engine's head was read and the caller's sent.
 
         May be called from any thread.
         """
