--- a/src/wayslip/entry/completions.py
+++ b/src/wayslip/entry/completions.py
@@ -1,4 +1,4 @@
-"""Completions: from a caller's request to an engine and back."""
+"""Completions: sends callers' requests to engines and returns the answers."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -29,8 +29,8 @@
 from wayslip.peers import node as node_module
 
 _LOG = logging.getLogger(__name__)
-_TELL_SECONDS = 1.0
-_RESUME_SECONDS = 5.0
+_NOTIFY_TIMEOUT_SECONDS = 1.0
+_RESUME_TIMEOUT_SECONDS = 5.0
 _STREAM_HEADERS = {
     "Content-Type": "text/event-stream",
     "Cache-Control": "no-store",
@@ -39,8 +39,8 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Sent:
-    """An engine's answer, its head read, and where it comes from."""
+class EngineResponse:
+    """An engine's answer of which only the head was read, and its origin."""
 
     endpoint: str
     request_id: str
@@ -51,7 +51,7 @@
     """Returns a request's prompt as one string.
 
     Raises:
-        BadRequestError: There is none, or it has the wrong form.
+        BadRequestError: There is no prompt, or it is malformed.
     """
     messages = body.get("messages")
     if isinstance(messages, list):
@@ -66,7 +66,8 @@
     if isinstance(prompt, str) and prompt:
         return prompt
     raise errors.BadRequestError(
-        "there is no prompt", 'send "messages" with objects, or a "prompt"'
+        "the request has no prompt",
+        'send "messages" with objects, or a "prompt"',
     )
 
 
@@ -100,7 +101,7 @@
     def check(
         self, request: web.Request, caller: settings_module.Caller
     ) -> choosing.Job | refusals.Refusal:
-        """Returns a request as a job, or why it can not be one.
+        """Checks a request and returns its job, or why it is refused.
 
         Raises:
             BadRequestError: The body or a header is malformed.
@@ -110,7 +111,8 @@
         model = body.get("model")
         if not isinstance(model, str):
             raise errors.BadRequestError(
-                "there is no model", 'send "model", see GET /v1/models'
+                "the request names no model",
+                'send "model", see GET /v1/models',
             )
         target = self._node.holder.catalog.resolve(model)
         if isinstance(target, refusals.Refusal):
@@ -133,32 +135,32 @@
     def serve(
         self, request: web.Request, job: choosing.Job
     ) -> web.Answer | None:
-        """Answers a job; returns None when the relay took it over."""
+        """Answers a job; returns None if the relay streams the answer."""
         if self._relay.active >= self._settings.limits.streams:
             return answers.answer_refusal(_refuse_streams())
         self._in_flight.begin(job.caller.name)
         try:
-            sent = self._send(job)
-            if isinstance(sent, web.Answer):
-                return sent
-            if sent.upstream.is_stream:
-                self._hand_over(request, job, sent)
+            response = self._send(job)
+            if isinstance(response, web.Answer):
+                return response
+            if response.upstream.is_stream:
+                self._hand_over(request, job, response)
                 return None
-            return self._read_whole(job, sent)
+            return self._read_buffered(job, response)
         finally:
             if not request.is_detached:
                 self._in_flight.end(job.caller.name)
 
-    def run_whole(self, job: choosing.Job) -> web.Answer:
-        """Returns the whole answer of a job that is not a stream."""
+    def run_buffered(self, job: choosing.Job) -> web.Answer:
+        """Returns the complete answer of a job that is not a stream."""
         with self._in_flight.counted(job.caller.name):
-            sent = self._send(job)
-            if isinstance(sent, web.Answer):
-                return sent
-            return self._read_whole(job, sent)
+            response = self._send(job)
+            if isinstance(response, web.Answer):
+                return response
+            return self._read_buffered(job, response)
 
-    def _send(self, job: choosing.Job) -> Sent | web.Answer:
-        """Tries endpoints until one answers or the verdict is final."""
+    def _send(self, job: choosing.Job) -> EngineResponse | web.Answer:
+        """Tries engines until one answers or the verdict is not to retry."""
         tries = attempts.Attempts(
             self._in_flight,
             self._settings.admission,
@@ -166,15 +168,17 @@
             job.may_repeat,
             job.deadline,
         )
-        tried: frozenset[choosing.Try] = frozenset()
+        tried: frozenset[choosing.FailedAttempt] = frozenset()
         while True:
             chosen = self._chooser.choose(job, tried)
             if isinstance(chosen, refusals.Refusal):
                 return self._answer_refused(chosen, tries.may_have_run)
             result = self._attempt(job, chosen)
-            if isinstance(result, Sent):
+            if isinstance(result, EngineResponse):
                 return result
-            tried |= {choosing.Try(chosen.choice.name, chosen.engine_model)}
+            tried |= {
+                choosing.FailedAttempt(chosen.choice.name, chosen.engine_model)
+            }
             verdict = tries.fail(result)
             if verdict is not retry.Verdict.RETRY:
                 return self._answer_verdict(verdict)
@@ -191,13 +195,13 @@
         if verdict is retry.Verdict.UNKNOWN:
             self._metrics.count("unknown")
             return answers.answer_unknown(
-                "an endpoint broke off after it may have begun;"
-                " ask again if the request may be repeated"
+                "the connection to an endpoint failed after the request may"
+                " have started; send it again if it may be repeated"
             )
         return answers.answer_refusal(
             refusals.Refusal(
                 refusals.Reason.NO_ENDPOINT,
-                "no endpoint took the request; come back after Retry-After",
+                "no endpoint accepted the request; retry after Retry-After",
                 1.0,
             )
         )
@@ -206,19 +210,19 @@
 
     def _attempt(
         self, job: choosing.Job, chosen: choosing.Chosen
-    ) -> Sent | retry.Failure:
+    ) -> EngineResponse | retry.Failure:
         name = chosen.choice.name
         address = self._view.address(name)
         if address is None:
             return retry.Failure.NOT_SENT
         request_id = uuid.uuid4().hex
-        # Engines do lower priorities first.
+        # Engines serve lower priority numbers first.
         changes = {"model": chosen.engine_model, "priority": chosen.prompt.rank}
         body = json.dumps({**job.body, **changes}).encode()
         timeout = max(job.deadline - clock.now(), 0.001)
         self._view.begin(name, chosen.prompt)
         result = self._begin(chosen, address, job, body, request_id, timeout)
-        if not isinstance(result, Sent):
+        if not isinstance(result, EngineResponse):
             self._view.end(name)
         return result
 
@@ -230,7 +234,7 @@
         body: bytes,
         request_id: str,
         timeout: float,
-    ) -> Sent | retry.Failure:
+    ) -> EngineResponse | retry.Failure:
         name, model = chosen.choice.name, chosen.engine_model
         try:
             upstream = self._dialect.begin(
@@ -259,32 +263,34 @@
         if upstream.status >= 500:
             upstream.close()
             return retry.Failure.UNCLEAR
-        return Sent(name, request_id, upstream)
+        return EngineResponse(name, request_id, upstream)
 
     # Answering
 
-    def _read_whole(self, job: choosing.Job, sent: Sent) -> web.Answer:
+    def _read_buffered(
+        self, job: choosing.Job, response: EngineResponse
+    ) -> web.Answer:
         try:
-            data = sent.upstream.read(self._settings.limits.answer_bytes)
+            data = response.upstream.read(self._settings.limits.answer_bytes)
         except errors.EndpointError as e:
             self._metrics.count("unknown")
             return answers.answer_unknown(f"{e.reason}; {e.remedy}")
         finally:
-            self._view.end(sent.endpoint)
+            self._view.end(response.endpoint)
         seconds = clock.now() - job.started
         self._metrics.latency("completion").observe(seconds)
-        kind = sent.upstream.headers.get("Content-Type", "application/json")
+        kind = response.upstream.headers.get("Content-Type", "application/json")
         headers = {web.OUTCOME: web.RAN}
-        return web.Answer(sent.upstream.status, data, kind, headers)
+        return web.Answer(response.upstream.status, data, kind, headers)
 
     def _hand_over(
-        self, request: web.Request, job: choosing.Job, sent: Sent
+        self, request: web.Request, job: choosing.Job, response: EngineResponse
     ) -> None:
         token = tokens.StreamToken(
-            sent.endpoint, sent.request_id, self._node.identity.name
+            response.endpoint, response.request_id, self._node.identity.name
         )
         self._relay_stream(
-            request, job.caller, token, sent.upstream, -1, job.started
+            request, job.caller, token, response.upstream, -1, job.started
         )
 
     def _relay_stream(
@@ -302,10 +308,10 @@
             address = self._view.address(name)
             if address is None:
                 raise errors.NotSentError(
-                    f"{name} is not listed any more", "ask again"
+                    f"{name} is no longer listed", "send the request again"
                 )
             return self._dialect.resume(
-                address, token.request_id, last, _RESUME_SECONDS
+                address, token.request_id, last, _RESUME_TIMEOUT_SECONDS
             )
 
         def on_end(end: relay_module.End) -> None:
@@ -314,7 +320,7 @@
             if end is relay_module.End.HUNG_UP:
                 self.cancellations.add(token)
 
-        plan = relay_module.Plan(
+        spec = relay_module.StreamSpec(
             tokens.seal_stream(self._resume_key, caller.name, token),
             after,
             resume,
@@ -322,7 +328,7 @@
             started,
         )
         sock, owner = request.detach(_STREAM_HEADERS)
-        self._relay.add(sock, owner, upstream, plan)
+        self._relay.add(sock, owner, upstream, spec)
 
     # Resuming
 
@@ -332,26 +338,33 @@
         caller: settings_module.Caller,
         event_id: str,
     ) -> web.Answer | None:
-        """Goes on with a stream after the last event that a caller got."""
+        """Resumes a stream after the last event that a caller received.
+
+        Returns:
+            An error answer, or None if the relay streams the rest.
+
+        Raises:
+            BadRequestError: The event id is not one of this caller's.
+        """
         opened = tokens.open_event_id(self._resume_key, caller.name, event_id)
         if opened is None:
             raise errors.BadRequestError(
                 "Last-Event-ID is not one of this caller's",
-                "send the last id of the stream as it came",
+                "send the last event id of the stream unchanged",
             )
         token, after = opened
         self.cancellations.drop(token.request_id)
-        self._tell_first_entry(token)
+        self._notify_first_entry(token)
         address = self._view.address(token.endpoint)
         if address is None:
             return self._answer_gone()
         try:
             upstream = self._dialect.resume(
-                address, token.request_id, after, _RESUME_SECONDS
+                address, token.request_id, after, _RESUME_TIMEOUT_SECONDS
             )
         except errors.EndpointError:
             return answers.answer_unknown(
-                "the engine does not answer; resume again or ask again"
+                "the engine does not answer; resume again or send a new request"
             )
         if not upstream.is_stream:
             upstream.close()
@@ -364,10 +377,10 @@
 
     def _answer_gone(self) -> web.Answer:
         return answers.answer_unknown(
-            "the stream is no longer kept; ask again for a new answer"
+            "the stream is no longer available; send a new request"
         )
 
-    def _tell_first_entry(self, token: tokens.StreamToken) -> None:
+    def _notify_first_entry(self, token: tokens.StreamToken) -> None:
         if token.entry == self._node.identity.name:
             return
         member = self._node.find(token.entry)
@@ -378,18 +391,17 @@
                 member,
                 messages_module.Resumed(token.request_id),
                 messages_module.Noted,
-                _TELL_SECONDS,
+                _NOTIFY_TIMEOUT_SECONDS,
             )
         except errors.WayslipError:
-            # A dead entry cancels nothing.
+            # An entry that has stopped does not cancel the stream.
             return
 
 
 def _refuse_streams() -> refusals.Refusal:
     return refusals.Refusal(
         refusals.Reason.OVERLOADED,
-        "the entry relays as many streams as it may; connect again, to"
-        " another entry",
+        "this entry has reached its limit of streams; connect to another entry",
         1.0,
     )
 
@@ -398,7 +410,7 @@
     """Returns the seconds until the caller's deadline.
 
     Raises:
-        BadRequestError: The header is no positive number.
+        BadRequestError: The header is not a positive number.
     """
     text = request.header("Wayslip-Deadline")
     if not text:
@@ -409,7 +421,7 @@
         seconds = 0.0
     if not seconds > 0:
         raise errors.BadRequestError(
-            "Wayslip-Deadline is no positive number",
+            "Wayslip-Deadline is not a positive number",
             "send seconds, such as 2.5",
         )
     return min(seconds, longest)
--- a/src/wayslip/entry/daemon.py
+++ b/src/wayslip/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry daemon put together, with its planned stop."""
+"""Assembles, starts and stops the entry daemon."""
 
 import logging
 import threading
@@ -27,12 +27,12 @@
 from wayslip.peers import node as node_module
 
 _LOG = logging.getLogger(__name__)
-_DRAIN_STEP = 0.05
-_LIST_PERIOD = 2.0
+_DRAIN_CHECK_SECONDS = 0.05
+_LIST_RETRY_SECONDS = 2.0
 
 
 class EntryDaemon:
-    """One instance's entry."""
+    """The entry daemon of one instance."""
 
     def __init__(self, settings: settings_module.Settings) -> None:
         self._settings = settings
@@ -84,9 +84,9 @@
             admin.Hooks(self.is_ready, self.dump, lambda request, name: None),
         )
         self.stopping = threading.Event()
-        self._answer_calls()
+        self._register_handlers()
 
-    def _answer_calls(self) -> None:
+    def _register_handlers(self) -> None:
         calls = self.node.calls
         calls.handle(messages.Dump, self._answer_dump)
         calls.handle(messages.Drain, self._answer_drain)
@@ -95,14 +95,17 @@
         calls.handle(messages.ListEndpoints, self._answer_list)
 
     def start(self) -> None:
-        """Starts all parts; the callers' port last."""
+        """Starts all components.
+
+        The callers' port opens after the components that serve its requests.
+        """
         self._admin.start()
         self.node.start()
         self.view.start()
         self.relay.start()
         self._callers_port.start()
         threading.Thread(
-            target=self._learn_endpoints, name="learn", daemon=True
+            target=self._fetch_endpoints, name="learn", daemon=True
         ).start()
         logs.event(
             _LOG,
@@ -112,13 +115,17 @@
         )
 
     def is_ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should send callers to this instance."""
         return not self.stopping.is_set() and self.node.holder.generation > 0
 
-    # The planned stop
+    # Graceful stop
 
     def stop(self) -> None:
-        """Lets the balancer notice, finishes what runs, then ends."""
+        """Stops gracefully.
+
+        Gives the load balancer time to notice, then refuses new requests,
+        finishes running ones up to a time limit and stops all components.
+        """
         began = clock.now()
         self.stopping.set()
         self.node.leave()
@@ -139,21 +146,25 @@
         )
 
     def _wait_for_requests(self) -> int:
-        """Waits until nothing runs; returns what still does at the limit."""
+        """Waits until no request runs or the time limit is reached.
+
+        Returns:
+            The number of requests in flight at the limit.
+        """
         limit = clock.now() + self._settings.drain.finish_seconds
         while clock.now() < limit:
             running = self.routes.active + self.in_flight.total
             running += self.relay.active + self.keyed.active
             if not running:
                 return 0
-            time.sleep(_DRAIN_STEP)
+            time.sleep(_DRAIN_CHECK_SECONDS)
         return self.in_flight.total
 
-    # Starting in an outage
+    # Starting while the object API is unreachable
 
-    def _learn_endpoints(self) -> None:
-        """Asks peers for the endpoints while the object API is silent."""
-        while not self.stopping.wait(_LIST_PERIOD):
+    def _fetch_endpoints(self) -> None:
+        """Asks peers for the endpoints until the object API has listed them."""
+        while not self.stopping.wait(_LIST_RETRY_SECONDS):
             if self.view.list.synced_at:
                 return
             for member in self.node.live(membership.Role.ENTRY):
@@ -166,13 +177,13 @@
                 except errors.WayslipError:
                     continue
                 for endpoint in answer.endpoints:
-                    self.view.adopt(endpoint)
+                    self.view.update_endpoint(endpoint)
                 break
 
-    # Calls
+    # Operators' and peers' calls
 
     def dump(self) -> Any:
-        """Returns the state of the process, with ages in seconds."""
+        """Returns the state of the process. Ages are in seconds."""
         return {
             "member": self.node.process,
             "time": time.time(),
--- a/src/wayslip/entry/journal.py
+++ b/src/wayslip/entry/journal.py
@@ -1,9 +1,9 @@
 """Writes the journal of requests that may not be repeated.
 
-Operations on one slot are gathered while a write is under way and go out
-together in the next, so the object API sees far fewer writes than there are
-requests. An operation may be applied again to newer content, so it has to
-recognise its own effect.
+Operations on one slot are queued while a write to it is in progress, and
+written together in the next write, so the object API gets far fewer writes than
+there are requests. After a conflict or an unanswered write, an operation is
+applied again to newer content, so it has to recognise its own effect.
 """
 
 from collections.abc import Callable
@@ -22,12 +22,12 @@
 from wayslip.objects import kinds
 
 _MAX_BATCH = 256
-_MAX_TRIES = 32
+_MAX_ATTEMPTS = 32
 
 
 @dataclasses.dataclass(frozen=True)
 class Applied:
-    """A segment after an operation, and what the operation found."""
+    """A segment after an operation, and the operation's result."""
 
     segment: journal.Segment
     result: Any
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass
-class _Waiting:
+class _QueuedOperation:
     """An operation and the future of its result."""
 
     operation: Operation
@@ -45,18 +45,18 @@
 
 
 class _Slot:
-    """One slot's queue and its last known content."""
+    """The queue of one journal slot and its last known content."""
 
     def __init__(self, number: int) -> None:
         self.number = number
         self.lock = threading.Lock()
-        self.queue: list[_Waiting] = []
+        self.queue: list[_QueuedOperation] = []
         self.is_writing = False
         self.stored: client_module.Stored[journal.Segment] | None = None
 
 
 class Journal:
-    """All slots as one entry writes them. Safe for many threads."""
+    """Reads and writes all journal slots. Safe for many threads."""
 
     def __init__(
         self,
@@ -72,10 +72,12 @@
     def start(
         self, key: str, fingerprint: str, runner: str
     ) -> journal.Record | refusals.Refusal:
-        """Writes that a runner starts a key; returns the key's record.
+        """Records that a runner starts a key's request.
 
-        The record is the runner's own when it may go on, and another's when
-        the key is known already.
+        Returns:
+            The key's record, or why the journal cannot take it. The runner may
+            run the request only if it is the record's runner; otherwise the key
+            was already known.
 
         Raises:
             ObjectUnavailableError: Whether it was written is unknown.
@@ -99,7 +101,7 @@
         return self._submit(key, operation)
 
     def look_up(self, key: str) -> journal.Record | None:
-        """Reads what is known of a key from the object itself.
+        """Reads a key's record from the object API, None for an unknown key.
 
         Raises:
             ObjectUnavailableError: The object API did not answer.
@@ -114,7 +116,7 @@
         state: journal.State,
         answer: journal.Answer | None,
     ) -> None:
-        """Writes what came of a key.
+        """Records the outcome of a key's request.
 
         Raises:
             ObjectUnavailableError: Whether it was written is unknown.
@@ -128,7 +130,7 @@
         self._submit(key, operation)
 
     def dump(self) -> dict[int, Any]:
-        """Returns the slots that this entry wrote, with their sizes."""
+        """Returns the slots that this entry has read or written, by number."""
         shown = {}
         for slot in self._slots:
             stored = slot.stored
@@ -141,21 +143,24 @@
                 }
         return shown
 
-    # Gathering
+    # Batched writes
 
     def _submit(self, key: str, operation: Operation) -> Any:
         slot = self._slots[journal.choose_slot(key, len(self._slots))]
-        waiting = _Waiting(operation, concurrent.futures.Future())
+        queued = _QueuedOperation(operation, concurrent.futures.Future())
         with slot.lock:
-            slot.queue.append(waiting)
-            leads = not slot.is_writing
-            slot.is_writing = slot.is_writing or leads
-        if leads:
+            slot.queue.append(queued)
+            is_writer = not slot.is_writing
+            slot.is_writing = slot.is_writing or is_writer
+        if is_writer:
             self._write_all(slot)
-        return waiting.future.result()
+        return queued.future.result()
 
     def _write_all(self, slot: _Slot) -> None:
-        """Writes batches until the queue is empty; one thread at a time."""
+        """Writes batches until the queue is empty.
+
+        Only one thread at a time writes to a slot.
+        """
         while True:
             with slot.lock:
                 batch = slot.queue[:_MAX_BATCH]
@@ -166,14 +171,14 @@
             try:
                 results = self._write(slot, [w.operation for w in batch])
             except BaseException as e:
-                for waiting in batch:
-                    waiting.future.set_exception(e)
+                for queued in batch:
+                    queued.future.set_exception(e)
                 continue
-            for waiting, result in zip(batch, results, strict=True):
-                waiting.future.set_result(result)
+            for queued, result in zip(batch, results, strict=True):
+                queued.future.set_result(result)
 
     def _write(self, slot: _Slot, batch: list[Operation]) -> list[Any]:
-        for _ in range(_MAX_TRIES):
+        for _ in range(_MAX_ATTEMPTS):
             stored = slot.stored or self._read(slot)
             segment = stored.value
             results = []
@@ -193,11 +198,12 @@
             except errors.ObjectConflictError:
                 slot.stored = None
             except errors.ObjectUnavailableError:
-                # The write may have taken effect: read before going on.
+                # The write may have taken effect, so the content is read again.
                 slot.stored = None
                 self._read(slot)
         raise errors.ObjectUnavailableError(
-            f"journal slot {slot.number} keeps changing", "try again"
+            f"journal slot {slot.number} keeps changing under writes",
+            "try again",
         )
 
     def _read(self, slot: _Slot) -> client_module.Stored[journal.Segment]:
--- a/src/wayslip/entry/relay.py
+++ b/src/wayslip/entry/relay.py
@@ -1,13 +1,13 @@
 """Relays streams of server-sent events from engines to callers.
 
-One thread serves all streams with non-blocking sockets. A thread for each
-stream was the first design; at 560 streams their wake-ups alone took more
-processor time than the work (docs/design/relay.md has both measurements).
-
-A stream ends well only after the engine's `[DONE]`. When the engine's side
-breaks off before, the stream is taken up again after the last event that was
-passed on; where that fails, the caller gets an error event and a connection
-that ends without the closing chunk, so a short answer never looks whole.
+One thread serves all streams with non-blocking sockets. With a thread for each
+stream, at 560 streams the wake-ups alone take more processor time than the work
+(docs/design/relay.md has the measurements).
+
+A stream is complete only after the engine's `[DONE]`. If the engine's
+connection breaks before that, the stream is resumed after the last event that
+was forwarded. If that fails, the caller gets an error event and its connection
+ends without the closing chunk, so a truncated answer never looks complete.
 """
 
 import collections
@@ -37,8 +37,8 @@
 _LOG = logging.getLogger(__name__)
 _RECEIVE_BYTES = 65_536
 _RESUME_THREADS = 4
-_RESUME_TRIES = 4
-_RESUME_PAUSE = 0.25
+_RESUME_ATTEMPTS = 4
+_RESUME_BACKOFF_SECONDS = 0.25
 _EVENT_END = b"\n\n"
 _ID_LINE = re.compile(rb"^id: (?=\d)", re.MULTILINE)
 _DONE = b"data: [DONE]"
@@ -57,15 +57,15 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Plan:
-    """What the relay needs to know of a stream.
+class StreamSpec:
+    """Parameters of a relayed stream.
 
     Attributes:
-        token: Prefix of the event ids that the caller gets.
+        token: Prefix of the event ids sent to the caller.
         after: Number of the last event that the caller has, -1 for none.
-        resume: Asks the engine for the events after a number.
-        on_end: Called once, from the relay's thread.
-        started: When the request came in, steady seconds.
+        resume: Requests the events after a given number from the engine.
+        on_end: Called once when the stream ends, in the relay's thread.
+        started: When the request came in, monotonic seconds.
     """
 
     token: str
@@ -76,7 +76,7 @@
 
 
 class _Body:
-    """Decodes the body of an answer whose head was read elsewhere."""
+    """Decodes the body of an answer whose head has already been read."""
 
     def __init__(self, headers: Any) -> None:
         self.data: list[bytes] = []
@@ -90,32 +90,32 @@
         self._parser.feed_data(head + b"\r\n")
 
     def on_body(self, data: bytes) -> None:
-        """Called by the parser."""
+        """Collects decoded bytes; called by the parser."""
         self.data.append(data)
 
     def on_message_complete(self) -> None:
-        """Called by the parser."""
+        """Records the end of the body; called by the parser."""
         self.is_complete = True
 
     def feed(self, data: bytes) -> bytes:
-        """Returns the body bytes among bytes from the wire."""
+        """Returns the body bytes decoded from bytes of the connection."""
         self._parser.feed_data(data)
-        taken = b"".join(self.data)
+        body = b"".join(self.data)
         self.data.clear()
-        return taken
+        return body
 
 
 class _Stream:
-    """One stream; touched by the relay's thread only."""
+    """The state of one stream, used only by the relay's thread."""
 
     def __init__(
-        self, caller: socket.socket, caller_owner: Any, plan: Plan
+        self, caller: socket.socket, caller_owner: Any, spec: StreamSpec
     ) -> None:
         self.caller = caller
         self.caller_owner = caller_owner
-        self.plan = plan
-        self.id_prefix = b"id: " + plan.token.encode("ascii") + b"."
-        self.last = plan.after
+        self.spec = spec
+        self.id_prefix = b"id: " + spec.token.encode("ascii") + b"."
+        self.last_event = spec.after
         self.upstream: socket.socket | None = None
         self.upstream_owner: Any = None
         self.body: _Body | None = None
@@ -128,7 +128,7 @@
 
 
 class Relay:
-    """Serves all streams of an entry."""
+    """Relays all streams of an entry."""
 
     def __init__(
         self, metrics: metrics_module.Metrics, buffer_bytes: int
@@ -155,7 +155,7 @@
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends the thread; streams still open are cut."""
+        """Stops the thread. Open streams are not completed."""
         self._stopping.set()
         self._wake()
         self._thread.join(timeout=2.0)
@@ -163,7 +163,7 @@
 
     @property
     def active(self) -> int:
-        """Streams under way."""
+        """Number of open streams and scheduled tasks."""
         return len(self._streams) + len(self._tasks)
 
     def add(
@@ -171,18 +171,18 @@
         caller: socket.socket,
         caller_owner: Any,
         upstream: exchange.Exchange,
-        plan: Plan,
+        spec: StreamSpec,
     ) -> None:
-        """Takes over a stream whose heads were read and sent.
+        """Adds a stream after the engine's head was read and the caller's sent.
 
         May be called from any thread.
         """
-        stream = _Stream(caller, caller_owner, plan)
-        self._post(lambda: self._begin(stream, upstream))
+        stream = _Stream(caller, caller_owner, spec)
+        self._schedule(lambda: self._begin(stream, upstream))
 
-    # The thread
+    # The relay's thread
 
-    def _post(self, task: Callable[[], None]) -> None:
+    def _schedule(self, task: Callable[[], None]) -> None:
         self._tasks.append(task)
         self._wake()
 
@@ -190,7 +190,7 @@
         try:
             self._wake_out.send(b"w")
         except OSError:
-            # A full pipe wakes the thread as well.
+            # A full socket buffer wakes the thread as well.
             pass
 
     def _run(self) -> None:
@@ -202,7 +202,7 @@
                 try:
                     self._serve(key.data, key.fileobj, mask)
                 except Exception:
-                    # One stream's fault must not end the others.
+                    # An error in one stream must not end the others.
                     _LOG.exception("stream_failed")
                     self._end(key.data, End.BROKEN)
 
@@ -212,7 +212,8 @@
         except BlockingIOError:
             pass
         while self._tasks:
-            # The task counts as active until it is a stream.
+            # The task stays queued while it runs, so that a new stream always
+            # counts as active.
             try:
                 self._tasks[0]()
             except Exception:
@@ -228,12 +229,12 @@
         if stream not in self._streams:
             upstream.close()
             return
-        sock, early, owner = upstream.detach()
+        sock, buffered, owner = upstream.detach()
         stream.upstream, stream.upstream_owner = sock, owner
         stream.body = _Body(upstream.headers)
         self._selector.register(sock, selectors.EVENT_READ, stream)
-        if early:
-            self._take(stream, early)
+        if buffered:
+            self._process_data(stream, buffered)
 
     def _serve(self, stream: _Stream, sock: Any, mask: int) -> None:
         if stream not in self._streams:
@@ -257,34 +258,36 @@
         except OSError:
             data = b""
         if not data:
-            self._break(stream)
+            self._start_resume(stream)
             return
-        self._take(stream, data)
+        self._process_data(stream, data)
 
-    def _take(self, stream: _Stream, data: bytes) -> None:
+    def _process_data(self, stream: _Stream, data: bytes) -> None:
         assert stream.body is not None
         try:
             body = stream.body.feed(data)
         except httptools.HttpParserError:
-            self._break(stream)
+            self._start_resume(stream)
             return
         text = stream.partial + body
         end = text.rfind(_EVENT_END) + len(_EVENT_END)
         if end >= len(_EVENT_END):
             stream.partial = text[end:]
-            self._pass_on(stream, text[:end])
+            self._forward_events(stream, text[:end])
         else:
             stream.partial = text
         if stream not in self._streams or stream.is_done:
             return
         if stream.body.is_complete or len(stream.partial) > self._buffer_bytes:
-            self._break(stream)
+            self._start_resume(stream)
 
-    def _pass_on(self, stream: _Stream, events: bytes) -> None:
+    def _forward_events(self, stream: _Stream, events: bytes) -> None:
         start = events.rfind(b"\nid: ") + 1
         if start or events.startswith(b"id: "):
             number = events[start + 4 : events.find(b"\n", start)]
-            stream.last = int(number) if number.isdigit() else stream.last
+            stream.last_event = (
+                int(number) if number.isdigit() else stream.last_event
+            )
         done = events.startswith(_DONE) or b"\n" + _DONE in events
         events = _ID_LINE.sub(stream.id_prefix, events)
         stream.out += b"%x\r\n%s\r\n" % (len(events), events)
@@ -294,7 +297,7 @@
             self._detach_upstream(stream)
         if not stream.has_sent:
             stream.has_sent = True
-            self._first_token.observe(clock.now() - stream.plan.started)
+            self._first_token.observe(clock.now() - stream.spec.started)
         self._write(stream)
 
     def _detach_upstream(self, stream: _Stream) -> None:
@@ -306,25 +309,25 @@
         stream.upstream_owner.close()
         stream.upstream = stream.upstream_owner = None
 
-    # A broken engine stream
+    # Broken engine connections
 
-    def _break(self, stream: _Stream) -> None:
-        """Takes the stream up again in another thread, since that blocks."""
+    def _start_resume(self, stream: _Stream) -> None:
+        """Resumes the stream in another thread, since that blocks."""
         self._detach_upstream(stream)
-        # Half an event was not passed on; the engine sends it again whole.
+        # An incomplete event was not forwarded; the engine sends it again.
         stream.partial = b""
         self._metrics.count("streams_broken")
-        after = stream.last
+        after = stream.last_event
         try:
             self._resumers.submit(self._resume, stream, after)
         except RuntimeError:
             self._end(stream, End.BROKEN)
 
     def _resume(self, stream: _Stream, after: int) -> None:
-        for attempt in range(_RESUME_TRIES):
-            time.sleep(_RESUME_PAUSE * attempt)
+        for attempt in range(_RESUME_ATTEMPTS):
+            time.sleep(_RESUME_BACKOFF_SECONDS * attempt)
             try:
-                upstream = stream.plan.resume(after)
+                upstream = stream.spec.resume(after)
             except errors.EndpointError as e:
                 logs.event(
                     _LOG, "resume_failed", logging.DEBUG, reason=e.reason
@@ -332,19 +335,22 @@
                 continue
             if upstream.status == 200 and upstream.is_stream:
                 self._metrics.count("streams_resumed")
-                self._post(functools.partial(self._attach, stream, upstream))
+                self._schedule(
+                    functools.partial(self._attach, stream, upstream)
+                )
                 return
             upstream.close()
-        self._post(lambda: self._give_up(stream))
+        self._schedule(lambda: self._end_with_error(stream))
 
-    def _give_up(self, stream: _Stream) -> None:
+    def _end_with_error(self, stream: _Stream) -> None:
         if stream not in self._streams:
             return
         text = json.dumps(
             {
                 "error": {
-                    "message": "the engine broke off and the stream could not"
-                    " be taken up again; the answer is not whole, ask again",
+                    "message": "the connection to the engine failed and the"
+                    " stream could not be resumed; the answer is incomplete,"
+                    " send the request again",
                     "type": "stream_broken",
                 }
             }
@@ -381,7 +387,7 @@
             self._selector.modify(stream.caller, mask, stream)
         if stream.upstream is None:
             return
-        # A caller that reads slowly stops its own engine stream only.
+        # A caller that reads slowly pauses only its own engine stream.
         is_full = len(stream.out) > self._buffer_bytes
         if is_full and not stream.is_paused:
             self._selector.unregister(stream.upstream)
@@ -398,8 +404,8 @@
             return
         except OSError:
             data = b""
-        # A caller has nothing to say while its answer runs: data that comes
-        # early is dropped, since the connection ends with the stream.
+        # The connection ends with the stream, so data that the caller sends
+        # during the stream is discarded.
         if not data:
             self._end(stream, End.HUNG_UP)
 
@@ -416,4 +422,4 @@
         stream.caller.close()
         stream.caller_owner = None
         self._metrics.count("streams", end=end)
-        stream.plan.on_end(end)
+        stream.spec.on_end(end)
