--- a/src/wayslip/admin.py
+++ b/src/wayslip/admin.py
@@ -16,7 +16,7 @@
 from wayslip import settings as settings_module
 from wayslip import web
 
-Extra = Callable[[web.Request, str], web.Answer | None]
+ExtraHandler = Callable[[web.Request, str], web.Answer | None]
 _THREADS = 8
 
 
@@ -32,7 +32,7 @@
 
     is_ready: Callable[[], bool]
     dump: Callable[[], Any]
-    extra: Extra
+    extra: ExtraHandler
 
 
 def find_operator(
--- a/src/wayslip/cli/ctl.py
+++ b/src/wayslip/cli/ctl.py
@@ -178,16 +178,16 @@
 
 def _explain(options: Any) -> int:
     """Prints the story of a request from logs."""
-    told = story.tell(options["REQUEST"], _read_logs(options))
-    if told is None:
+    found = story.build_story(options["REQUEST"], _read_logs(options))
+    if found is None:
         raise errors.BadRequestError(
             f"no line names request {options['REQUEST']}",
             "give the logs of all instances around its time",
         )
     if options["--json"]:
-        print(json.dumps(dataclasses.asdict(told), indent=1))
+        print(json.dumps(dataclasses.asdict(found), indent=1))
     else:
-        print(story.format_story(told))
+        print(story.format_story(found))
     return 0
 
 
--- a/src/wayslip/control/daemon.py
+++ b/src/wayslip/control/daemon.py
@@ -103,9 +103,12 @@
             },
             "replica_sets": world.replica_sets(),
             "reports": {
-                e.name: {"age": clock.now() - seen.at, "is": seen.report}
+                e.name: {
+                    "age": clock.now() - received.at,
+                    "is": received.report,
+                }
                 for e in world.engines()
-                if (seen := world.seen(e.name)) is not None
+                if (received := world.last_report(e.name)) is not None
             },
         }
 
--- a/src/wayslip/control/evictions.py
+++ b/src/wayslip/control/evictions.py
@@ -40,8 +40,8 @@
             known: replicas.ReplicaSet | None,
         ) -> replicas.ReplicaSet | refusals.Refusal:
             known = known or replicas.ReplicaSet(item)
-            alive = self._find_alive(known, name) if needed else frozenset()
-            return known.release(name, alive, needed)
+            holders = self._find_holders(known, name) if needed else frozenset()
+            return known.release(name, holders, needed)
 
         result = self._client.change(kinds.REPLICA_SET, object_name(item), step)
         if not isinstance(result, refusals.Refusal):
@@ -66,16 +66,16 @@
         ready = self._world.replica_sets().get(successor)
         return not (ready and ready.engines)
 
-    def _find_alive(
-        self, known: replicas.ReplicaSet, besides: str
+    def _find_holders(
+        self, known: replicas.ReplicaSet, excluded: str
     ) -> frozenset[str]:
         """Returns the engines that surely hold an item and will keep it.
 
         Called between the read and the write of the replica set. The ledger
         is read for certain: see `confirm_read`.
         """
-        alive = set()
-        for name in known.engines - {besides}:
+        holders = set()
+        for name in known.engines - {excluded}:
             endpoint = self._world.endpoint(name)
             if endpoint is None or endpoint.phase is kinds.Phase.LEAVING:
                 continue
@@ -85,10 +85,10 @@
             except errors.WayslipError:
                 continue
             charge = ledger.get(known.item)
-            is_free = all(a.item != known.item for a in ledger.attempts)
-            if charge and is_free and known.item in report.resident:
-                alive.add(name)
-        return frozenset(alive)
+            has_no_attempt = all(a.item != known.item for a in ledger.attempts)
+            if charge and has_no_attempt and known.item in report.resident:
+                holders.add(name)
+        return frozenset(holders)
 
     def is_released(self, name: str, item: str) -> bool:
         """Whether nobody put an engine back into an item's set meanwhile."""
--- a/src/wayslip/control/executor.py
+++ b/src/wayslip/control/executor.py
@@ -45,7 +45,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class _Subject:
+class _ObservedEngine:
     """An engine that is being worked on."""
 
     endpoint: kinds.Endpoint
@@ -77,7 +77,7 @@
         self._first_seen: dict[tuple[str, str], float] = {}
         # What this sender still owes the ledgers: its word on attempts for
         # which the write had no answer. Nobody else may give that word.
-        self._owed: dict[str, dict[str, LedgerStep]] = {}
+        self._pending_updates: dict[str, dict[str, LedgerStep]] = {}
         self._thread = threading.Thread(
             target=self._run, name="executor", daemon=True
         )
@@ -93,7 +93,7 @@
 
     def _run(self) -> None:
         while not self._stopping.wait(self._settings.placement.period):
-            for endpoint in self._owned():
+            for endpoint in self._owned_engines():
                 if self._stopping.is_set():
                     return
                 try:
@@ -111,13 +111,13 @@
                     # One engine's fault must not stop work on the others.
                     _LOG.exception("engine_work_failed")
 
-    def _owned(self) -> list[kinds.Endpoint]:
+    def _owned_engines(self) -> list[kinds.Endpoint]:
         controls = self._world.node.live_names(membership.Role.CONTROL)
-        me = self._world.node.identity.name
+        own_name = self._world.node.identity.name
         return [
             e
             for e in self._world.engines()
-            if ownership.find_owner(e.name, controls) == me
+            if ownership.find_owner(e.name, controls) == own_name
         ]
 
     def work_on(self, endpoint: kinds.Endpoint) -> bool:
@@ -125,21 +125,21 @@
         try:
             report = self._dialect.report(endpoint.address, _REPORT_SECONDS)
         except errors.EndpointError:
-            self._world.lose_report(endpoint.name)
+            self._world.record_missing_report(endpoint.name)
             return False
-        self._world.note_report(endpoint.name, report)
+        self._world.record_report(endpoint.name, report)
         ledger = self._observe(endpoint, report)
-        subject = _Subject(endpoint, ledger, report)
-        self._keep_replica_sets(subject)
+        observed = _ObservedEngine(endpoint, ledger, report)
+        self._update_replica_sets(observed)
         if endpoint.phase is kinds.Phase.LEAVING:
             return False
-        return self._work(subject)
+        return self._run_step(observed)
 
-    def _work(self, subject: _Subject) -> bool:
-        name = subject.endpoint.name
+    def _run_step(self, observed: _ObservedEngine) -> bool:
+        name = observed.endpoint.name
         kept: frozenset[str] = frozenset()
         while True:
-            step = self._choose(subject, kept)
+            step = self._choose(observed, kept)
             if step is None:
                 return False
             is_unload = step.action is ledger_module.Action.UNLOAD
@@ -147,7 +147,7 @@
                 # Its replacement may be what this engine is to load next.
                 kept |= {step.item}
                 continue
-            return self._carry_out(subject, step)
+            return self._execute(observed, step)
 
     # Observing
 
@@ -163,22 +163,24 @@
                 endpoint.name, endpoint.capacity, endpoint.checks_fence
             )
             now = time.time()
-            for unserved in self._owed.get(endpoint.name, {}).values():
-                ledger = unserved(ledger)
-            ledger = self._give_up_stale(ledger, now)
+            for pending in self._pending_updates.get(
+                endpoint.name, {}
+            ).values():
+                ledger = pending(ledger)
+            ledger = self._give_up_stale_attempts(ledger, now)
             return ledger.observe(report.residency, now, quarantine)
 
         # Most reports change nothing; then no call is made at all.
         copy = self._world.ledgers.objects.get(endpoint.name)
-        owes = endpoint.name in self._owed
-        if copy is not None and not owes and step(copy) == copy:
+        has_pending = endpoint.name in self._pending_updates
+        if copy is not None and not has_pending and step(copy) == copy:
             return copy
         stored = self._client.change(kinds.LEDGER, endpoint.name, step)
         assert not isinstance(stored, refusals.Refusal)
-        self._owed.pop(endpoint.name, None)
+        self._pending_updates.pop(endpoint.name, None)
         return stored.value
 
-    def _give_up_stale(
+    def _give_up_stale_attempts(
         self, ledger: ledger_module.Ledger, now: float
     ) -> ledger_module.Ledger:
         """Gives up attempts whose sender is gone or no longer waits."""
@@ -188,39 +190,39 @@
             if attempt.given_up:
                 continue
             key = (ledger.engine, attempt.id)
-            seen = self._first_seen.setdefault(key, clock.now())
-            is_old = clock.now() - seen > _STALE_ATTEMPT_SECONDS
+            first_seen = self._first_seen.setdefault(key, clock.now())
+            is_old = clock.now() - first_seen > _STALE_ATTEMPT_SECONDS
             # At an engine without fences a sender that may only be paused is
             # never given up for it: only its own word or its end counts.
-            may = ledger.checks_fence or attempt.sender not in live
-            if is_old and may:
+            may_give_up = ledger.checks_fence or attempt.sender not in live
+            if is_old and may_give_up:
                 ledger = ledger.give_up(attempt.id, now)
         for engine, attempt_id in list(self._first_seen):
             if engine == ledger.engine and attempt_id not in open_ids:
                 del self._first_seen[engine, attempt_id]
         return ledger
 
-    def _keep_replica_sets(self, subject: _Subject) -> None:
+    def _update_replica_sets(self, observed: _ObservedEngine) -> None:
         """Adds what became ready and takes out what was lost by itself."""
-        name = subject.endpoint.name
+        name = observed.endpoint.name
         wanted = self._world.catalog.placements.get(name, ())
         ready = {
             c.item
-            for c in subject.ledger.charges
+            for c in observed.ledger.charges
             if c.phase is ledger_module.Phase.RESIDENT
             and c.item in wanted
-            and not any(a.item == c.item for a in subject.ledger.attempts)
+            and not any(a.item == c.item for a in observed.ledger.attempts)
         }
-        charged = {c.item for c in subject.ledger.charges}
+        charged = {c.item for c in observed.ledger.charges}
         for item in ready:
             known = self._world.replica_sets().get(item)
             if known is None or name not in known.engines:
-                self._change_set(item, lambda old: old.add(name))
+                self._change_replica_set(item, lambda old: old.add(name))
         for item, known in self._world.replica_sets().items():
             if name in known.engines and item not in charged:
-                self._change_set(item, lambda old: old.lose(name))
+                self._change_replica_set(item, lambda old: old.lose(name))
 
-    def _change_set(self, item: str, step) -> None:  # type: ignore[no-untyped-def]
+    def _change_replica_set(self, item: str, step) -> None:  # type: ignore[no-untyped-def]
         self._client.change(
             kinds.REPLICA_SET,
             evictions.object_name(item),
@@ -230,10 +232,10 @@
     # Choosing
 
     def _choose(
-        self, subject: _Subject, kept: frozenset[str]
+        self, observed: _ObservedEngine, kept: frozenset[str]
     ) -> reconcile.Step | None:
         catalog = self._world.catalog
-        items = catalog.placements.get(subject.endpoint.name, ())
+        items = catalog.placements.get(observed.endpoint.name, ())
         sets = self._world.replica_sets()
         wanted = reconcile.Wanted(
             tuple(i for i in items if i in catalog.sizes),
@@ -242,7 +244,7 @@
             {i for i in items if i not in sets or not sets[i].engines},
             kept,
         )
-        return reconcile.choose_step(subject.ledger, wanted, may_load=True)
+        return reconcile.choose_step(observed.ledger, wanted, may_load=True)
 
     def _take_load_permit(self) -> bool:
         controls = self._world.node.live_names(membership.Role.CONTROL)
@@ -256,38 +258,40 @@
 
     # Carrying out
 
-    def _carry_out(self, subject: _Subject, step: reconcile.Step) -> bool:
+    def _execute(self, observed: _ObservedEngine, step: reconcile.Step) -> bool:
         is_load = step.action is ledger_module.Action.LOAD
         if is_load and not self._take_load_permit():
             return False
         is_unload = step.action is ledger_module.Action.UNLOAD
         attempt_id = uuid.uuid4().hex
         try:
-            written = self._write_attempt(subject, step, attempt_id)
+            written = self._write_attempt(observed, step, attempt_id)
         except errors.ObjectUnavailableError:
             # It may be written, and it will never be sent.
-            self._owe(subject, attempt_id, lambda old: old.withdraw(attempt_id))
+            self._defer_update(
+                observed, attempt_id, lambda old: old.withdraw(attempt_id)
+            )
             raise
         if isinstance(written, refusals.Refusal):
             logs.event(
                 _LOG,
                 "step_refused",
-                engine=subject.endpoint.name,
+                engine=observed.endpoint.name,
                 item=step.item,
                 reason=written.reason,
             )
             return False
         if is_unload and not self._evictions.is_released(
-            subject.endpoint.name, step.item
+            observed.endpoint.name, step.item
         ):
-            self._tell(
-                subject, attempt_id, lambda old: old.withdraw(attempt_id)
+            self._update_attempt(
+                observed, attempt_id, lambda old: old.withdraw(attempt_id)
             )
             return False
-        return self._send(subject, written, attempt_id)
+        return self._send(observed, written, attempt_id)
 
     def _write_attempt(
-        self, subject: _Subject, step: reconcile.Step, attempt_id: str
+        self, observed: _ObservedEngine, step: reconcile.Step, attempt_id: str
     ) -> ledger_module.Ledger | refusals.Refusal:
         def begin(
             known: ledger_module.Ledger | None,
@@ -300,13 +304,13 @@
                 return following
             return _begin(following, step, attempt_id, self._sender)
 
-        name = subject.endpoint.name
+        name = observed.endpoint.name
         stored = self._client.change(kinds.LEDGER, name, begin)
         return stored if isinstance(stored, refusals.Refusal) else stored.value
 
     def _send(
         self,
-        subject: _Subject,
+        observed: _ObservedEngine,
         ledger: ledger_module.Ledger,
         attempt_id: str,
     ) -> bool:
@@ -321,21 +325,21 @@
             attempt.fence if ledger.checks_fence else 0,
             attempt.boot if ledger.checks_fence else 0,
         )
-        name = subject.endpoint.name
+        name = observed.endpoint.name
         self._metrics.count("orders", action=attempt.action)
         try:
             answer = self._dialect.order(
-                subject.endpoint.address, order, _ORDER_SECONDS
+                observed.endpoint.address, order, _ORDER_SECONDS
             )
         except errors.NotSentError:
-            self._tell(
-                subject, attempt_id, lambda old: old.withdraw(attempt_id)
+            self._update_attempt(
+                observed, attempt_id, lambda old: old.withdraw(attempt_id)
             )
             return False
         except errors.EndpointError as e:
             now = time.time()
-            self._tell(
-                subject, attempt_id, lambda old: old.give_up(attempt_id, now)
+            self._update_attempt(
+                observed, attempt_id, lambda old: old.give_up(attempt_id, now)
             )
             logs.event(
                 _LOG,
@@ -348,12 +352,12 @@
             )
             return False
         residency = answer.report.residency
-        self._tell(
-            subject,
+        self._update_attempt(
+            observed,
             attempt_id,
             lambda old: old.settle(attempt_id, answer.outcome, residency),
         )
-        self._world.note_report(name, answer.report)
+        self._world.record_report(name, answer.report)
         logs.event(
             _LOG,
             "order_answered",
@@ -365,8 +369,8 @@
         )
         return answer.outcome is ledger_module.Outcome.APPLIED
 
-    def _tell(
-        self, subject: _Subject, attempt_id: str, step: LedgerStep
+    def _update_attempt(
+        self, observed: _ObservedEngine, attempt_id: str, step: LedgerStep
     ) -> None:
         """Writes the sender's word on an attempt, now or with a later report.
 
@@ -379,16 +383,16 @@
             return step(known)
 
         try:
-            self._client.change(kinds.LEDGER, subject.endpoint.name, change)
+            self._client.change(kinds.LEDGER, observed.endpoint.name, change)
         except errors.ObjectUnavailableError:
-            self._owe(subject, attempt_id, step)
+            self._defer_update(observed, attempt_id, step)
             raise
 
-    def _owe(
-        self, subject: _Subject, attempt_id: str, step: LedgerStep
+    def _defer_update(
+        self, observed: _ObservedEngine, attempt_id: str, step: LedgerStep
     ) -> None:
-        unserved = self._owed.setdefault(subject.endpoint.name, {})
-        unserved[attempt_id] = step
+        pending = self._pending_updates.setdefault(observed.endpoint.name, {})
+        pending[attempt_id] = step
 
 
 def _begin(
--- a/src/wayslip/control/operators.py
+++ b/src/wayslip/control/operators.py
@@ -128,7 +128,7 @@
     world = ops.world
     sets = world.replica_sets()
     required = world.catalog.required
-    unreachable = sorted(
+    not_resident = sorted(
         i for i in required if i not in sets or not sets[i].engines
     )
     members = [
@@ -145,7 +145,7 @@
         "members": members,
         "models": len(world.catalog.models),
         "items": len(required),
-        "not_resident": unreachable,
+        "not_resident": not_resident,
         "object_api_age": round(world.endpoints.age, 1),
     }
     return web.answer_json(200, value)
@@ -191,7 +191,7 @@
         ops.world.endpoints.objects.values(), key=lambda e: e.name
     ):
         ledger = ledgers.get(endpoint.name)
-        seen = ops.world.seen(endpoint.name)
+        received = ops.world.last_report(endpoint.name)
         phase = "leaving" if endpoint.name in leaving else endpoint.phase
         rows.append(
             {
@@ -205,7 +205,7 @@
                 "charged": ledger.charged if ledger else 0,
                 "items": [c.item for c in ledger.charges] if ledger else [],
                 "unsettled": len(ledger.attempts) if ledger else 0,
-                "report_age": clock.now() - seen.at if seen else None,
+                "report_age": clock.now() - received.at if received else None,
             }
         )
     return web.answer_json(200, {"endpoints": rows})
@@ -235,7 +235,7 @@
     ops: Operations, request: web.Request, operator: str, name: str
 ) -> web.Answer:
     """Begins the planned stop of both daemons of an instance."""
-    begun = []
+    draining = []
     # The entry first: it has callers, and it asks nothing of the control.
     for role in ("entry", "control"):
         member = ops.world.node.find(f"{role}/{name}")
@@ -244,10 +244,10 @@
         ops.world.node.call(
             member, messages.Drain(operator), messages.Draining, _CALL_SECONDS
         )
-        begun.append(member.name)
-    if not begun:
+        draining.append(member.name)
+    if not draining:
         return _answer_no_instance(name)
-    return web.answer_json(200, {"draining": begun})
+    return web.answer_json(200, {"draining": draining})
 
 
 def _answer_no_instance(name: str) -> web.Answer:
--- a/src/wayslip/control/plans.py
+++ b/src/wayslip/control/plans.py
@@ -22,8 +22,8 @@
 from wayslip.objects import kinds
 
 _LOG = logging.getLogger(__name__)
-_CLAIM_SECONDS = 10.0
-_PLANS_KEPT = 100
+_CLAIM_TIMEOUT_SECONDS = 10.0
+_MAX_ENDED_PLANS = 100
 
 Result = plan_module.Plan | refusals.Refusal
 
@@ -134,7 +134,7 @@
             return claimed
         applied = self._apply(claimed, operator)
         if isinstance(applied, refusals.Refusal):
-            self._end(plan_id, operator)
+            self._cancel_claimed(plan_id, operator)
             return applied
         self._world.node.holder.offer(applied, "confirm")
         self._world.node.push_generation()
@@ -165,10 +165,12 @@
                     ended_by=operator,
                     at=now,
                 )
-            is_mine = known.ended_by == operator
-            is_stuck = not known.generation and now - known.at > _CLAIM_SECONDS
+            is_same_operator = known.ended_by == operator
+            is_abandoned = (
+                not known.generation and now - known.at > _CLAIM_TIMEOUT_SECONDS
+            )
             confirmed = known.state is plan_module.PlanState.CONFIRMED
-            if confirmed and (is_mine or is_stuck):
+            if confirmed and (is_same_operator or is_abandoned):
                 return known
             return refusals.Refusal(
                 refusals.Reason.WRONG_STATE,
@@ -235,7 +237,7 @@
         stored = self._client.change(kinds.PLAN, plan_id, step)
         return stored if isinstance(stored, refusals.Refusal) else stored.value
 
-    def _end(self, plan_id: str, operator: str) -> None:
+    def _cancel_claimed(self, plan_id: str, operator: str) -> None:
         """Marks a claimed plan whose world had changed as cancelled."""
 
         def step(known: plan_module.Plan | None) -> Result:
@@ -251,7 +253,7 @@
     def finish(self) -> None:
         """Marks confirmed plans whose steps are all done; drops old plans."""
         for index, plan in enumerate(self.list()):
-            if index >= _PLANS_KEPT and plan.state is not (
+            if index >= _MAX_ENDED_PLANS and plan.state is not (
                 plan_module.PlanState.CONFIRMED
             ):
                 self._client.delete(kinds.PLAN, plan.id)
--- a/src/wayslip/control/repair.py
+++ b/src/wayslip/control/repair.py
@@ -20,7 +20,7 @@
 from wayslip.decisions import plan as plan_module
 
 _LOG = logging.getLogger(__name__)
-_PERIOD = 1.0
+_PERIOD_SECONDS = 1.0
 _BACKOFF_SECONDS = 10.0
 AUTHOR = "automatic"
 
@@ -50,7 +50,7 @@
         self._stopping.set()
 
     def _run(self) -> None:
-        while not self._stopping.wait(_PERIOD):
+        while not self._stopping.wait(_PERIOD_SECONDS):
             if not self._is_owner() or clock.now() < self._wait_until:
                 continue
             try:
--- a/src/wayslip/control/world.py
+++ b/src/wayslip/control/world.py
@@ -19,12 +19,12 @@
 from wayslip.peers import node as node_module
 
 # An engine that has not answered for this long gets no new placements.
-DEAD_SECONDS = 5.0
-_LOST_TTL = 10.0
+UNRESPONSIVE_SECONDS = 5.0
+_LOST_TTL_SECONDS = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Seen:
+class ReceivedReport:
     """A report and when it came, steady seconds."""
 
     report: engine_module.Report
@@ -43,15 +43,15 @@
         self.node = node
         self._watchers = watchers
         self._lock = threading.Lock()
-        self._reports: dict[str, Seen] = {}
-        self._lost: dict[str, float] = {}
+        self._reports: dict[str, ReceivedReport] = {}
+        self._unanswered_since: dict[str, float] = {}
         self.endpoints = informer.Informer(client, kinds.ENDPOINT)
         self.ledgers = informer.Informer(client, kinds.LEDGER)
         self._sets = informer.Informer(client, kinds.REPLICA_SET)
         self.configurations = informer.Informer(
             client, kinds.CONFIGURATION, self._watches_configuration
         )
-        self.configurations.subscribe(self._take_configuration)
+        self.configurations.subscribe(self._apply_configuration)
 
     def start(self) -> None:
         """Starts all watches."""
@@ -90,7 +90,7 @@
         """Returns the replica sets by item, as last heard."""
         return {s.item: s for s in self._sets.objects.values()}
 
-    def seen(self, name: str) -> Seen | None:
+    def last_report(self, name: str) -> ReceivedReport | None:
         """Returns the last report of an engine."""
         with self._lock:
             return self._reports.get(name)
@@ -99,12 +99,12 @@
         """Whether an engine may be given something new to hold."""
         if endpoint.phase is kinds.Phase.LEAVING:
             return False
-        told = self.node.facts(facts.Topic.LOST)
-        if any(f.subject == endpoint.name and f.value for f in told):
+        published = self.node.facts(facts.Topic.LOST)
+        if any(f.subject == endpoint.name and f.value for f in published):
             return False
-        seen = self.seen(endpoint.name)
+        received = self.last_report(endpoint.name)
         draining = engine_module.EngineState.DRAINING
-        return seen is None or seen.report.state is not draining
+        return received is None or received.report.state is not draining
 
     def engine_states(
         self, ledgers: dict[str, ledger_module.Ledger] | None = None
@@ -125,34 +125,39 @@
 
     # Taking in
 
-    def note_report(self, name: str, report: engine_module.Report) -> None:
+    def record_report(self, name: str, report: engine_module.Report) -> None:
         """Keeps an engine's report."""
         with self._lock:
-            self._reports[name] = Seen(report, clock.now())
-            was_lost = self._lost.pop(name, None)
-        if was_lost is not None:
-            self._tell_lost(name, 0.0)
+            self._reports[name] = ReceivedReport(report, clock.now())
+            lost_since = self._unanswered_since.pop(name, None)
+        if lost_since is not None:
+            self._publish_lost(name, 0.0)
 
-    def lose_report(self, name: str) -> None:
+    def record_missing_report(self, name: str) -> None:
         """Notes that an engine did not answer; tells peers once it is dead."""
         with self._lock:
-            since = self._lost.setdefault(name, clock.now())
-        if clock.now() - since > DEAD_SECONDS:
-            self._tell_lost(name, 1.0)
+            since = self._unanswered_since.setdefault(name, clock.now())
+        if clock.now() - since > UNRESPONSIVE_SECONDS:
+            self._publish_lost(name, 1.0)
 
-    def _tell_lost(self, name: str, value: float) -> None:
+    def _publish_lost(self, name: str, value: float) -> None:
         now = time.time()
         origin = self.node.identity.name
-        told = [
+        published = [
             f
             for f in self.node.facts(facts.Topic.LOST)
             if f.subject == name and f.value == value
         ]
-        if any(now - f.at < _LOST_TTL / 2 for f in told):
+        if any(now - f.at < _LOST_TTL_SECONDS / 2 for f in published):
             return
         self.node.publish(
             facts.Fact(
-                facts.Topic.LOST, name, origin, now, value, ttl=_LOST_TTL
+                facts.Topic.LOST,
+                name,
+                origin,
+                now,
+                value,
+                ttl=_LOST_TTL_SECONDS,
             )
         )
 
@@ -162,7 +167,7 @@
         ranked = ownership.rank_owners("configuration", controls)
         return self.node.identity.name in ranked[: self._watchers]
 
-    def _take_configuration(self, name: str, value) -> None:  # type: ignore[no-untyped-def]
+    def _apply_configuration(self, name: str, value) -> None:  # type: ignore[no-untyped-def]
         if name != kinds.CURRENT or value is None:
             return
         if self.node.holder.offer(value, "objects"):
--- a/src/wayslip/logs.py
+++ b/src/wayslip/logs.py
@@ -17,14 +17,14 @@
 _SECRET_WORDS = ("key", "token", "secret", "authorization", "password")
 _MASK = "***"
 # Lines that wait for a slow reader: about a megabyte.
-BUFFER_LINES = 4_000
+MAX_BUFFERED_LINES = 4_000
 # Between writes, seconds; each costs a wake-up of its own.
-FLUSH_SECONDS = 0.25
+FLUSH_PERIOD_SECONDS = 0.25
 # Longest wait for the reader at the end, seconds.
-CLOSE_SECONDS = 0.5
+CLOSE_TIMEOUT_SECONDS = 0.5
 # Lines of one event a second: some times what an instance decides at its
 # expected load of 20 requests a second.
-RATE = 300
+MAX_LINES_PER_SECOND = 300
 
 
 def event(
@@ -81,11 +81,11 @@
         limit: Lines that wait at most.
     """
 
-    def __init__(self, stream: TextIO, limit: int = BUFFER_LINES) -> None:
+    def __init__(self, stream: TextIO, limit: int = MAX_BUFFERED_LINES) -> None:
         self._stream = stream
         self._limit = limit
         self._lines: collections.deque[str] = collections.deque()
-        self._left_out: collections.Counter[str] = collections.Counter()
+        self._dropped: collections.Counter[str] = collections.Counter()
         self._lock = threading.Lock()
         self._wake = threading.Event()
         self._is_closed = False
@@ -99,28 +99,28 @@
         limit = self._limit if level >= logging.WARNING else self._limit // 2
         with self._lock:
             if len(self._lines) >= limit:
-                self._left_out[name] += 1
+                self._dropped[name] += 1
                 return
             self._lines.append(line)
 
-    def take_left_out(self) -> dict[str, int]:
+    def take_dropped(self) -> dict[str, int]:
         """Returns how many lines of each event were left out since."""
         with self._lock:
-            left_out = dict(self._left_out)
-            self._left_out.clear()
-        return left_out
+            dropped = dict(self._dropped)
+            self._dropped.clear()
+        return dropped
 
     def _take(self) -> str:
         with self._lock:
             text = "".join(self._lines)
             self._lines.clear()
-        for name, count in self.take_left_out().items():
+        for name, count in self.take_dropped().items():
             text += f"event=lines_left_out of={_quote(name)} count={count}\n"
         return text
 
     def _run(self) -> None:
         while not self._is_closed:
-            self._wake.wait(FLUSH_SECONDS)
+            self._wake.wait(FLUSH_PERIOD_SECONDS)
             text = self._take()
             if not text:
                 continue
@@ -135,7 +135,7 @@
         """Writes what is left, if the reader takes it soon."""
         self._is_closed = True
         self._wake.set()
-        self._thread.join(timeout=CLOSE_SECONDS)
+        self._thread.join(timeout=CLOSE_TIMEOUT_SECONDS)
         if self._thread.is_alive():
             return
         text = self._take()
@@ -152,7 +152,7 @@
         self._writer = writer
         self._second = 0
         self._counts: collections.Counter[str] = collections.Counter()
-        self._over: collections.Counter[str] = collections.Counter()
+        self._over_limit: collections.Counter[str] = collections.Counter()
         self.setFormatter(KeyValueFormatter())
 
     def emit(self, record: logging.LogRecord) -> None:
@@ -160,12 +160,16 @@
         name = str(record.msg)
         second = int(clock.now())
         if second != self._second:
-            self._report_over()
+            self._report_over_limit()
             self._second = second
         self._counts[name] += 1
-        most = RATE if record.levelno < logging.WARNING else RATE * 2
-        if self._counts[name] > most:
-            self._over[name] += 1
+        limit = (
+            MAX_LINES_PER_SECOND
+            if record.levelno < logging.WARNING
+            else MAX_LINES_PER_SECOND * 2
+        )
+        if self._counts[name] > limit:
+            self._over_limit[name] += 1
             return
         try:
             line = self.format(record) + "\n"
@@ -174,12 +178,12 @@
             return
         self._writer.add(name, record.levelno, line)
 
-    def _report_over(self) -> None:
+    def _report_over_limit(self) -> None:
         self._counts.clear()
-        for name, count in self._over.items():
+        for name, count in self._over_limit.items():
             line = f"event=lines_left_out of={_quote(name)} count={count}\n"
             self._writer.add("lines_left_out", logging.WARNING, line)
-        self._over.clear()
+        self._over_limit.clear()
 
 
 def _install(handler: logging.Handler, level: str) -> None:
--- a/src/wayslip/metrics.py
+++ b/src/wayslip/metrics.py
@@ -13,9 +13,9 @@
 
 _LOWEST_US = 1
 _HIGHEST_US = 600_000_000
-_DIGITS = 2
+_SIGNIFICANT_DIGITS = 2
 _QUANTILES = (0.5, 0.95, 0.99)
-_US = 1_000_000
+_US_PER_SECOND = 1_000_000
 
 
 class Latency:
@@ -26,13 +26,13 @@
         self.help_text = help_text
         self._lock = threading.Lock()
         self._histogram = histogram.HdrHistogram(
-            _LOWEST_US, _HIGHEST_US, _DIGITS
+            _LOWEST_US, _HIGHEST_US, _SIGNIFICANT_DIGITS
         )
         self._sum = 0.0
 
     def observe(self, seconds: float) -> None:
         """Counts one duration, clamped to the histogram's range."""
-        us = min(max(int(seconds * _US), _LOWEST_US), _HIGHEST_US)
+        us = min(max(int(seconds * _US_PER_SECOND), _LOWEST_US), _HIGHEST_US)
         with self._lock:
             self._histogram.record_value(us)
             self._sum += seconds
@@ -41,7 +41,7 @@
         """Returns the duration in seconds below which a fraction lies."""
         with self._lock:
             us = self._histogram.get_value_at_percentile(fraction * 100)
-        return us / _US
+        return us / _US_PER_SECOND
 
     @property
     def count(self) -> int:
--- a/src/wayslip/peers/calls.py
+++ b/src/wayslip/peers/calls.py
@@ -25,7 +25,7 @@
 from wayslip.peers import messages
 
 _LOG = logging.getLogger(__name__)
-_IDLE_KEPT = 4
+_MAX_IDLE_LINKS = 4
 _CONNECT_SECONDS = 1.0
 _IDLE_SECONDS = 60.0
 _MAX_CONNECTIONS = 256
@@ -47,7 +47,7 @@
         self._key = key
         self._metrics = metrics
         self._handlers: dict[type, Handler] = {}
-        self._room = threading.BoundedSemaphore(_MAX_CONNECTIONS)
+        self._connection_slots = threading.BoundedSemaphore(_MAX_CONNECTIONS)
         host, port = addresses.split_address(address)
         self._server = ws_server.serve(
             self._serve,
@@ -74,7 +74,7 @@
         self._server.shutdown()
 
     def _serve(self, conn: ws_server.ServerConnection) -> None:
-        if not self._room.acquire(blocking=False):
+        if not self._connection_slots.acquire(blocking=False):
             self._metrics.count("peer_connections_refused")
             return
         try:
@@ -87,7 +87,7 @@
         except (websockets.WebSocketException, OSError, TimeoutError):
             pass
         finally:
-            self._room.release()
+            self._connection_slots.release()
 
     def _answer_calls(self, conn: ws_server.ServerConnection) -> None:
         nonce = frames.make_nonce()
@@ -162,7 +162,7 @@
             NotSentError: The peer can not have seen the message.
             PeerError: It may have seen it, or it refused.
         """
-        link = self._take(address)
+        link = self._acquire_link(address)
         try:
             answer = link.call(message, timeout)
         except (
@@ -176,7 +176,7 @@
                 f"{address} did not answer ({type(e).__name__})",
                 "the peer may have died; the call may have had effect",
             ) from e
-        self._give_back(address, link)
+        self._release_link(address, link)
         if isinstance(answer, messages.Failed):
             raise errors.PeerError(answer.reason, answer.remedy)
         if not isinstance(answer, kind):
@@ -189,15 +189,15 @@
     def close(self) -> None:
         """Closes the idle connections."""
         with self._lock:
-            links = [link for kept in self._idle.values() for link in kept]
+            links = [link for idle in self._idle.values() for link in idle]
             self._idle.clear()
         for link in links:
             link.conn.close()
 
-    def _take(self, address: str) -> _Link:
+    def _acquire_link(self, address: str) -> _Link:
         with self._lock:
-            kept = self._idle.get(address)
-            link = kept.pop() if kept else None
+            idle = self._idle.get(address)
+            link = idle.pop() if idle else None
         if link is not None and _is_open(link):
             return link
         try:
@@ -213,11 +213,11 @@
                 "check that the peer runs",
             ) from e
 
-    def _give_back(self, address: str, link: _Link) -> None:
+    def _release_link(self, address: str, link: _Link) -> None:
         with self._lock:
-            kept = self._idle.setdefault(address, [])
-            if len(kept) < _IDLE_KEPT:
-                kept.append(link)
+            idle = self._idle.setdefault(address, [])
+            if len(idle) < _MAX_IDLE_LINKS:
+                idle.append(link)
                 return
         link.conn.close()
 
--- a/src/wayslip/peers/node.py
+++ b/src/wayslip/peers/node.py
@@ -33,7 +33,7 @@
 _TICKS_PER_PERIOD = 5
 _JOIN_SECONDS = 5.0
 _CALL_SECONDS = 2.0
-_FACT_SENDS = 6
+_SENDS_PER_FACT = 6
 
 A = TypeVar("A")
 
@@ -68,7 +68,7 @@
         self._key = settings.security.peer_key.encode()
         self._lock = threading.RLock()
         self._facts = facts_module.FactTable()
-        self._fresh: dict[tuple, tuple[facts_module.Fact, int]] = {}
+        self._unsent_facts: dict[tuple, tuple[facts_module.Fact, int]] = {}
         self._listeners: list = []
         self._pulls: queue.Queue[str] = queue.Queue(maxsize=8)
         self._stopping = threading.Event()
@@ -117,8 +117,8 @@
         """Tells the peers that this daemon is stopping."""
         with self._lock:
             self._membership.leave()
-            outs = self._push_targets(self._settings.peers.fanout)
-        self._send_all(outs)
+            outgoing = self._push_targets(self._settings.peers.fanout)
+        self._send_all(outgoing)
 
     def stop(self) -> None:
         """Ends the threads and closes the sockets."""
@@ -171,7 +171,7 @@
 
     def publish(self, fact: facts_module.Fact) -> None:
         """Tells a fact to a few peers at once, who tell it on."""
-        self._take_facts((fact,))
+        self._apply_facts((fact,))
 
     def call(
         self,
@@ -198,9 +198,9 @@
     def _tick(self) -> None:
         now = clock.now()
         with self._lock:
-            outs = self._membership.tick(now)
+            outgoing = self._membership.tick(now)
             self._facts.expire(now)
-        self._send_all(outs)
+        self._send_all(outgoing)
         if now - self._joined_at > _JOIN_SECONDS and not self._has_peers():
             self._joined_at = now
             self._request_pull("join")
@@ -225,33 +225,35 @@
         now = clock.now()
         address = f"{source[0]}:{source[1]}"
         with self._lock:
-            outs = self._membership.receive(gossip.probe, address, now)
+            outgoing = self._membership.receive(gossip.probe, address, now)
             sender = self._membership.get(gossip.probe.sender)
-        self._send_all(outs)
-        self._take_facts(gossip.facts)
+        self._send_all(outgoing)
+        self._apply_facts(gossip.facts)
         if gossip.generation > self.holder.generation and sender:
             self._request_pull(sender.address)
 
-    def _take_facts(self, new: tuple[facts_module.Fact, ...]) -> None:
+    def _apply_facts(self, new: tuple[facts_module.Fact, ...]) -> None:
         if not new:
             return
         with self._lock:
-            news = self._facts.merge(new, clock.now())
-            for fact in news:
-                self._fresh[fact.id] = (fact, _FACT_SENDS)
-            outs = (
-                self._push_targets(self._settings.peers.fanout) if news else []
+            changed = self._facts.merge(new, clock.now())
+            for fact in changed:
+                self._unsent_facts[fact.id] = (fact, _SENDS_PER_FACT)
+            outgoing = (
+                self._push_targets(self._settings.peers.fanout)
+                if changed
+                else []
             )
-        self._send_all(outs)
+        self._send_all(outgoing)
         for listener in self._listeners:
-            if news:
-                listener(news)
+            if changed:
+                listener(changed)
 
     def push_generation(self) -> None:
         """Tells a few peers at once that the configuration rose."""
         with self._lock:
-            outs = self._push_targets(self._settings.peers.fanout)
-        self._send_all(outs)
+            outgoing = self._push_targets(self._settings.peers.fanout)
+        self._send_all(outgoing)
 
     def _push_targets(self, count: int) -> list[membership_module.Outgoing]:
         message = membership_module.Message(
@@ -265,19 +267,21 @@
             for m in self._membership.pick(count)
         ]
 
-    def _take_fresh(self) -> tuple[facts_module.Fact, ...]:
-        chosen = list(self._fresh.items())[:_FACTS_PER_DATAGRAM]
-        for fact_id, (fact, left) in chosen:
-            del self._fresh[fact_id]
-            if left > 1:
-                self._fresh[fact_id] = (fact, left - 1)
+    def _take_unsent_facts(self) -> tuple[facts_module.Fact, ...]:
+        chosen = list(self._unsent_facts.items())[:_FACTS_PER_DATAGRAM]
+        for fact_id, (fact, sends_left) in chosen:
+            del self._unsent_facts[fact_id]
+            if sends_left > 1:
+                self._unsent_facts[fact_id] = (fact, sends_left - 1)
         return tuple(fact for _, (fact, _) in chosen)
 
-    def _send_all(self, outs: list[membership_module.Outgoing]) -> None:
-        for out in outs:
+    def _send_all(self, outgoing: list[membership_module.Outgoing]) -> None:
+        for out in outgoing:
             with self._lock:
-                fresh = self._take_fresh()
-            gossip = messages.Gossip(out.message, fresh, self.holder.generation)
+                unsent = self._take_unsent_facts()
+            gossip = messages.Gossip(
+                out.message, unsent, self.holder.generation
+            )
             data = frames.seal_datagram(self._key, gossip, time.time())
             self._metrics.count("gossip_bytes", len(data), direction="out")
             try:
--- a/src/wayslip/report.py
+++ b/src/wayslip/report.py
@@ -17,7 +17,7 @@
 _SERVED = "answered"
 _ENDED = "ended"
 # Groups in a table, those with the most lost requests first.
-ROWS_MOST = 30
+MAX_ROWS = 30
 
 
 @dataclasses.dataclass(frozen=True)
@@ -108,7 +108,7 @@
 
 def format_groups(groups: Sequence[Group], field: str) -> str:
     """Returns groups as a table for a reader."""
-    shown = groups if field == "second" else groups[:ROWS_MOST]
+    shown = groups if field == "second" else groups[:MAX_ROWS]
     lines = [f"{field:20} requests served  p50 s  p99 s  lost by outcome"]
     for group in shown:
         served = group.outcomes.get(_SERVED, 0) / group.total
--- a/src/wayslip/story.py
+++ b/src/wayslip/story.py
@@ -144,7 +144,7 @@
     return inner.replace('\\"', '"').replace("\\\\", "\\")
 
 
-def tell(request: str, lines: Iterable[str]) -> Story | None:
+def build_story(request: str, lines: Iterable[str]) -> Story | None:
     """Returns the story of a request, None if no line names it."""
     events = [e for e in map(parse_line, lines) if e is not None]
     own = sorted(
@@ -171,13 +171,13 @@
     for event in events:
         if "request" in event.fields:
             continue
-        if _is_of_content(event, contents):
+        if _concerns_content(event, contents):
             # What it is suspected for may be long past.
             found.append(event)
             continue
         if not first <= event.at <= last:
             continue
-        is_wanted = (
+        is_context = (
             event.name in _CONTEXT_OF_ALL
             or (
                 event.name in _CONTEXT_OF_MODEL
@@ -197,12 +197,12 @@
                 and _instance(event) in instances
             )
         )
-        if is_wanted:
+        if is_context:
             found.append(event)
     return tuple(sorted(found, key=lambda e: e.at))
 
 
-def _is_of_content(event: Event, contents: set[str]) -> bool:
+def _concerns_content(event: Event, contents: set[str]) -> bool:
     """Whether an event tells of what was on its way as endpoints ended."""
     if event.name not in _CONTEXT_OF_CONTENT:
         return False
--- a/src/wayslip/web.py
+++ b/src/wayslip/web.py
@@ -170,7 +170,7 @@
 Application = Callable[[Request], Answer | None]
 
 
-class _ReadClock:
+class _ReadDeadlines:
     """Closes connections whose request takes too long to arrive.
 
     A socket time-out starts anew with every byte, so a caller that sends a
@@ -208,11 +208,11 @@
     """Adds the outcome to the answers that cheroot makes by itself."""
 
     def parse_request(self) -> None:
-        clock: _ReadClock = self.server.read_clock
-        clock.begin(self.conn.socket)
+        deadlines: _ReadDeadlines = self.server.read_deadlines
+        deadlines.begin(self.conn.socket)
         super().parse_request()
         if not self.ready:
-            clock.end(self.conn.socket)
+            deadlines.end(self.conn.socket)
 
     def simple_response(self, status: str, msg: str = "") -> None:
         text = json.dumps(
@@ -238,7 +238,7 @@
 
 class _Server(cheroot_server.HTTPServer):
     ConnectionClass = _Connection
-    read_clock: _ReadClock
+    read_deadlines: _ReadDeadlines
 
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
@@ -276,7 +276,7 @@
         self._server.request_queue_size = _ACCEPT_QUEUE
         self._server.timeout = limits.idle_seconds
         self._server.keep_alive_conn_limit = limits.connections
-        self._server.read_clock = _ReadClock(limits.idle_seconds)
+        self._server.read_deadlines = _ReadDeadlines(limits.idle_seconds)
         self._server.shutdown_timeout = 1
         if security is not None and security.certificate:
             self._server.ssl_adapter = cheroot_ssl.BuiltinSSLAdapter(
@@ -310,7 +310,7 @@
     raw: Any, application: Application, limits: settings_module.Limits
 ) -> None:
     request = Request(raw, limits.body_bytes)
-    clock: _ReadClock = raw.server.read_clock
+    deadlines: _ReadDeadlines = raw.server.read_deadlines
     try:
         answer = application(request)
     except errors.BadRequestError as e:
@@ -319,7 +319,7 @@
     except errors.WayslipError as e:
         answer = _answer_error(503, e)
     finally:
-        clock.end(raw.conn.socket)
+        deadlines.end(raw.conn.socket)
     if answer is not None:
         request.send(answer)
 
--- a/tests/control/test_operators.py
+++ b/tests/control/test_operators.py
@@ -10,7 +10,7 @@
 SECOND = system_module.OPERATOR + "-2"
 
 
-def is_quiet(system):
+def no_plan_in_progress(system):
     """Whether no confirmed plan is still being carried out."""
     plans = system.operate("GET", "/v1/plans").json["plans"]
     return all(
@@ -22,7 +22,9 @@
 
 def propose(system, name, size=5, n=0):
     # A load under way changes an engine, and with it the plan's world.
-    system_module.wait_until(lambda: is_quiet(system), "no plan runs")
+    system_module.wait_until(
+        lambda: no_plan_in_progress(system), "no plan runs"
+    )
     intent = system_module.grow_intent(name=name, size=size)
     reply = system.operate("POST", "/v1/plans", intent.encode(), n)
     assert reply.status == 200, reply.body
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -29,15 +29,15 @@
     assert "key=***" in line
 
 
-class StuckStream:
+class BlockedStream:
     """A reader that takes nothing until it is let go."""
 
     def __init__(self):
-        self.go = threading.Event()
+        self.unblock = threading.Event()
         self.text = ""
 
     def write(self, text):
-        self.go.wait(10)
+        self.unblock.wait(10)
         self.text += text
 
     def flush(self):
@@ -50,13 +50,13 @@
 
 
 def test_reader_that_stops_never_blocks_and_is_told_what_is_missing():
-    stream = StuckStream()
+    stream = BlockedStream()
     writer = logs.LineWriter(stream, limit=100)
     logger = logging.Logger("test")
     logger.addHandler(logs.LineHandler(writer))
     fill(logger, logging.INFO, 1000)
     fill(logger, logging.WARNING, 30)
-    stream.go.set()
+    stream.unblock.set()
     writer.close()
     # All warnings are there, only some of the rest, and the rest is counted.
     assert stream.text.count("level=warning") == 30
@@ -65,15 +65,15 @@
 
 
 def test_rate_of_one_event_is_bounded():
-    stream = StuckStream()
-    stream.go.set()
+    stream = BlockedStream()
+    stream.unblock.set()
     writer = logs.LineWriter(stream)
     logger = logging.Logger("test")
     handler = logs.LineHandler(writer)
     logger.addHandler(handler)
-    for number in range(3 * logs.RATE):
+    for number in range(3 * logs.MAX_LINES_PER_SECOND):
         logs.event(logger, "often", number=number)
-    handler._report_over()
+    handler._report_over_limit()
     writer.close()
-    assert stream.text.count("event=often") <= 2 * logs.RATE
+    assert stream.text.count("event=often") <= 2 * logs.MAX_LINES_PER_SECOND
     assert "event=lines_left_out of=often" in stream.text
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -33,29 +33,29 @@
 
 
 def test_story_has_own_events_and_what_touched_them():
-    told = story.tell("r1", LINES)
-    assert [e.name for e in told.events] == [
+    found = story.build_story("r1", LINES)
+    assert [e.name for e in found.events] == [
         "chosen",
         "endpoint_refused",
         "ended",
     ]
-    assert told.outcome == "not_taken"
+    assert found.outcome == "not_taken"
     # The eviction of its model and the outage of its own instance, no other.
-    assert [(e.name, e.fields.get("model")) for e in told.context] == [
+    assert [(e.name, e.fields.get("model")) for e in found.context] == [
         ("load_planned", "m3"),
         ("store_lost", None),
     ]
-    assert story.find_decision(told).name == "endpoint_refused"
+    assert story.find_decision(found).name == "endpoint_refused"
 
 
 def test_story_says_in_words_how_it_ended():
-    text = story.format_story(story.tell("r1", LINES))
+    text = story.format_story(story.build_story("r1", LINES))
     assert "* " in text and "endpoint_refused" in text
     assert text.endswith("the endpoint turned it away; it was not run")
 
 
 def test_unknown_request_has_no_story():
-    assert story.tell("r9", LINES) is None
+    assert story.build_story("r9", LINES) is None
 
 
 def test_command_reads_files(tmp_path):
@@ -84,9 +84,9 @@
             content=content,
         ),
     ]
-    told = story.tell("r1", lines)
-    assert [e.name for e in told.context] == [
+    found = story.build_story("r1", lines)
+    assert [e.name for e in found.context] == [
         "endpoint_ended",
         "content_condemned",
     ]
-    assert "endpoints ended under the same request" in story.format_story(told)
+    assert "endpoints ended under the same request" in story.format_story(found)
