--- a/src/wayslip/control/__init__.py
+++ b/src/wayslip/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control daemon: plans, the memory ledgers and their execution."""
+"""The control daemon: plans, memory ledgers and their execution."""
--- a/src/wayslip/control/daemon.py
+++ b/src/wayslip/control/daemon.py
@@ -1,4 +1,4 @@
-"""The control daemon put together, with its planned stop."""
+"""Assembles the control daemon and runs its planned stop."""
 
 import logging
 import threading
@@ -25,7 +25,7 @@
 
 
 class ControlDaemon:
-    """One instance's control."""
+    """The control daemon of one instance."""
 
     def __init__(self, settings: settings_module.Settings) -> None:
         self._settings = settings
@@ -59,7 +59,7 @@
         self.node.calls.handle(messages.Drain, self._answer_drain)
 
     def start(self) -> None:
-        """Starts all parts."""
+        """Starts all components."""
         self._admin.start()
         self.node.start()
         self.world.start()
@@ -70,7 +70,7 @@
         )
 
     def stop(self) -> None:
-        """Finishes the step under way, tells the peers and ends."""
+        """Finishes the current step, notifies the peers and stops."""
         self.stopping.set()
         self.repairer.stop()
         self.executor.stop()
--- a/src/wayslip/control/evictions.py
+++ b/src/wayslip/control/evictions.py
@@ -1,8 +1,8 @@
-"""The guard of the last ready replica of an item.
+"""Protects the last ready replica of an item from eviction.
 
-An engine leaves the item's replica set before its copy is evicted, and only
-while another engine surely holds the item and will keep it. The reasons for
-each read are in docs/design/memory.md.
+An engine is removed from the item's replica set before its copy is evicted,
+and only while another engine is confirmed to hold the item and to keep it.
+docs/design/memory.md gives the reason for each read.
 """
 
 import logging
@@ -33,7 +33,16 @@
         self._dialect = engine_module.DIALECTS.get("openai")
 
     def release(self, name: str, item: str) -> bool:
-        """Takes the engine out of the item's set, if another one is ready."""
+        """Removes an engine from an item's replica set, if that is safe.
+
+        Args:
+            name: The engine.
+            item: The item to evict from it.
+
+        Returns:
+            Whether the engine may evict the item. False if the item is needed
+            and no other engine is confirmed to hold it.
+        """
         needed = self._is_needed(item)
 
         def step(
@@ -69,10 +78,10 @@
     def _find_holders(
         self, known: replicas.ReplicaSet, excluded: str
     ) -> frozenset[str]:
-        """Returns the engines that surely hold an item and will keep it.
+        """Returns the engines that are confirmed to hold and keep an item.
 
-        Called between the read and the write of the replica set. The ledger
-        is read for certain: see `confirm_read`.
+        Called between the read and the conditional write of the replica set.
+        The ledger must not be stale, so it is read with `confirm_read`.
         """
         holders = set()
         for name in known.engines - {excluded}:
@@ -91,21 +100,25 @@
         return frozenset(holders)
 
     def is_released(self, name: str, item: str) -> bool:
-        """Whether nobody put an engine back into an item's set meanwhile."""
+        """Whether an engine is still absent from an item's replica set."""
         known = confirm_read(self._client, kinds.REPLICA_SET, object_name(item))
         return name not in known.engines
 
 
 def object_name(item: str) -> str:
-    """Returns an item's name in the form that object names take."""
+    """Returns an item's name in a form that is valid as an object name."""
     return item.replace("@", "--")
 
 
 def confirm_read(client: client_module.ObjectClient, kind, name: str):  # type: ignore[no-untyped-def]  # noqa: ANN001, ANN201
-    """Returns an object's content that was the newest during the call.
+    """Returns an object's value, confirmed to be current during the call.
+
+    A plain read may be stale. The conditional write of the same value
+    succeeds only if the value that was read is current.
 
-    A plain read may be stale. Writing the same content back conditionally
-    succeeds only if it was not.
+    Raises:
+        ObjectUnavailableError: The object changed during each of the attempts,
+            or the object API did not answer.
     """
     for _ in range(8):
         stored = client.get(kind, name)
--- a/src/wayslip/control/executor.py
+++ b/src/wayslip/control/executor.py
@@ -1,14 +1,15 @@
-"""Carries out placements on engines through their ledgers.
+"""Executes placements on engines through their ledgers.
 
-Each engine has a usual owner among the live controls. Ownership only spreads
-the work: two controls that both think they own an engine are kept apart by
-the conditional updates of its ledger and of the replica sets.
+Each engine has a usual owner among the live controls. Ownership only
+distributes the work. Where two controls both consider themselves the owner of
+an engine, the conditional updates of its ledger and of the replica sets
+prevent conflicting orders.
 
-The order of one step: (1) for an eviction, take the engine out of the item's
+One step consists of: (1) for an eviction, remove the engine from the item's
 replica set, which checks that another replica is ready; (2) write the attempt
-into the ledger; (3) for an eviction, see that nobody put the engine back into
-the set meanwhile; (4) send; (5) settle by the answer. A crash after any of
-these leaves a state from which the next owner goes on.
+to the ledger; (3) for an eviction, check that the engine was not added to the
+replica set again; (4) send the order; (5) settle the attempt by the answer.
+After a crash at any point, the next owner can continue from the stored state.
 """
 
 from collections.abc import Callable
@@ -46,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class _ObservedEngine:
-    """An engine that is being worked on."""
+    """An engine with its ledger and its current report."""
 
     endpoint: kinds.Endpoint
     ledger: ledger_module.Ledger
@@ -54,7 +55,7 @@
 
 
 class Executor:
-    """Works on the engines this control usually owns, in a thread."""
+    """Executes placements on the engines of this control, in a thread."""
 
     def __init__(
         self,
@@ -73,21 +74,23 @@
         self._stopping = threading.Event()
         share = settings.placement.load_rate
         self._bucket = rate.Bucket(share, 2.0, 1.0, clock.now())
-        # When each unsettled attempt was first seen here, steady seconds.
+        # When each unsettled attempt was first observed here, in seconds of
+        # `clock.now`, by engine and attempt id.
         self._first_seen: dict[tuple[str, str], float] = {}
-        # What this sender still owes the ledgers: its word on attempts for
-        # which the write had no answer. Nobody else may give that word.
+        # Ledger updates whose write was not answered, by engine and attempt
+        # id. They are applied again with the engine's next report, since only
+        # the sender of an attempt can report its result.
         self._pending_updates: dict[str, dict[str, LedgerStep]] = {}
         self._thread = threading.Thread(
             target=self._run, name="executor", daemon=True
         )
 
     def start(self) -> None:
-        """Starts to work."""
+        """Starts the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends after the step that is under way."""
+        """Stops after the current step."""
         self._stopping.set()
         self._thread.join(timeout=_ORDER_SECONDS + 1)
 
@@ -108,7 +111,7 @@
                         reason=e.reason,
                     )
                 except Exception:
-                    # One engine's fault must not stop work on the others.
+                    # A fault of one engine must not block the others.
                     _LOG.exception("engine_work_failed")
 
     def _owned_engines(self) -> list[kinds.Endpoint]:
@@ -121,7 +124,7 @@
         ]
 
     def work_on(self, endpoint: kinds.Endpoint) -> bool:
-        """Observes an engine and makes one step; returns whether it did."""
+        """Observes an engine and executes one step; returns whether it did."""
         try:
             report = self._dialect.report(endpoint.address, _REPORT_SECONDS)
         except errors.EndpointError:
@@ -144,7 +147,8 @@
                 return False
             is_unload = step.action is ledger_module.Action.UNLOAD
             if is_unload and not self._evictions.release(name, step.item):
-                # Its replacement may be what this engine is to load next.
+                # Another step may be possible, such as the load of the
+                # item that replaces the one retained here.
                 kept |= {step.item}
                 continue
             return self._execute(observed, step)
@@ -170,7 +174,7 @@
             ledger = self._give_up_stale_attempts(ledger, now)
             return ledger.observe(report.residency, now, quarantine)
 
-        # Most reports change nothing; then no call is made at all.
+        # Most reports change nothing, so the cached copy saves the call.
         copy = self._world.ledgers.objects.get(endpoint.name)
         has_pending = endpoint.name in self._pending_updates
         if copy is not None and not has_pending and step(copy) == copy:
@@ -183,7 +187,7 @@
     def _give_up_stale_attempts(
         self, ledger: ledger_module.Ledger, now: float
     ) -> ledger_module.Ledger:
-        """Gives up attempts whose sender is gone or no longer waits."""
+        """Gives up attempts whose sender is gone or has stopped waiting."""
         live = {m.process for m in self._world.node.members()}
         open_ids = {a.id for a in ledger.attempts}
         for attempt in ledger.attempts:
@@ -192,8 +196,9 @@
             key = (ledger.engine, attempt.id)
             first_seen = self._first_seen.setdefault(key, clock.now())
             is_old = clock.now() - first_seen > _STALE_ATTEMPT_SECONDS
-            # At an engine without fences a sender that may only be paused is
-            # never given up for it: only its own word or its end counts.
+            # A paused sender may still send its order, and an engine that
+            # does not check fences would execute it. At such an engine an
+            # attempt is given up only once its sender is no member any more.
             may_give_up = ledger.checks_fence or attempt.sender not in live
             if is_old and may_give_up:
                 ledger = ledger.give_up(attempt.id, now)
@@ -203,7 +208,7 @@
         return ledger
 
     def _update_replica_sets(self, observed: _ObservedEngine) -> None:
-        """Adds what became ready and takes out what was lost by itself."""
+        """Adds the engine for ready items, removes it for items it has lost."""
         name = observed.endpoint.name
         wanted = self._world.catalog.placements.get(name, ())
         ready = {
@@ -256,7 +261,7 @@
         self._bucket = taken
         return True
 
-    # Carrying out
+    # Executing
 
     def _execute(self, observed: _ObservedEngine, step: reconcile.Step) -> bool:
         is_load = step.action is ledger_module.Action.LOAD
@@ -267,7 +272,7 @@
         try:
             written = self._write_attempt(observed, step, attempt_id)
         except errors.ObjectUnavailableError:
-            # It may be written, and it will never be sent.
+            # The attempt may have been written, but is never sent.
             self._defer_update(
                 observed, attempt_id, lambda old: old.withdraw(attempt_id)
             )
@@ -372,10 +377,11 @@
     def _update_attempt(
         self, observed: _ObservedEngine, attempt_id: str, step: LedgerStep
     ) -> None:
-        """Writes the sender's word on an attempt, now or with a later report.
+        """Updates an attempt of this sender in the engine's ledger.
 
         Raises:
-            ObjectUnavailableError: It is owed.
+            ObjectUnavailableError: The object API did not answer. The update is
+                kept and applied with the engine's next report.
         """
 
         def change(known: ledger_module.Ledger | None) -> ledger_module.Ledger:
--- a/src/wayslip/control/intents.py
+++ b/src/wayslip/control/intents.py
@@ -1,4 +1,4 @@
-"""Operators' TOML files: what they want, as a change of configuration."""
+"""Parses operators' TOML files into changes of the configuration."""
 
 import dataclasses
 import tomllib
@@ -42,7 +42,7 @@
 
 
 def parse_intent(text: str) -> configuration.Change:
-    """Returns the change that an intent file asks for.
+    """Returns the change that an intent file describes.
 
     Raises:
         BadRequestError: A table or key is unknown, or a value is wrong.
@@ -51,7 +51,7 @@
         values = tomllib.loads(text)
     except tomllib.TOMLDecodeError as e:
         raise errors.BadRequestError(
-            f"the file is no TOML: {e}", "correct it at that place"
+            f"the file is not valid TOML: {e}", "correct the syntax there"
         ) from e
     put: list[configuration.Value] = []
     for table, rows in values.items():
@@ -65,7 +65,9 @@
         put += [_parse_row(table, index, r) for index, r in enumerate(rows)]
     delete = tuple(_parse_delete(r) for r in values.get("delete", []))
     if not put and not delete:
-        raise errors.BadRequestError("the file asks for nothing", _HINT)
+        raise errors.BadRequestError(
+            "the file contains nothing to change", _HINT
+        )
     return configuration.Change(tuple(put), delete)
 
 
@@ -76,7 +78,7 @@
         if isinstance(row, dict) and hidden & row.keys():
             raise errors.BadRequestError(
                 f"{table}[{index}] sets {hidden & row.keys()}",
-                "remove it, the system sets it",
+                "remove it; the control sets it",
             )
         return adapter.validate_python(row)
     except pydantic.ValidationError as e:
@@ -92,10 +94,10 @@
         kind, name = configuration.Kind(row["kind"]), str(row["name"])
     except (KeyError, TypeError, ValueError) as e:
         raise errors.BadRequestError(
-            "a [[delete]] needs a kind and a name", _HINT
+            "a [[delete]] needs a valid kind and a name", _HINT
         ) from e
     if kind not in _DELETABLE:
         raise errors.BadRequestError(
-            f"a {kind} can not be deleted", "placements follow from the models"
+            f"a {kind} cannot be deleted", "placements follow from the models"
         )
     return kind, name
--- a/src/wayslip/control/operators.py
+++ b/src/wayslip/control/operators.py
@@ -1,4 +1,4 @@
-"""The operators' calls: plans, status and what concerns one instance."""
+"""The operators' calls: plans, status, and dump and drain of instances."""
 
 from collections.abc import Callable
 import json
@@ -25,7 +25,7 @@
 
 
 class Operations:
-    """Answers the operators' calls of a control."""
+    """Answers operators' calls to a control."""
 
     def __init__(
         self,
@@ -36,7 +36,11 @@
         self.planner = planner
 
     def answer(self, request: web.Request, operator: str) -> web.Answer | None:
-        """Answers a call "/v1/SUBJECT[/NAME[/ACTION]]"; None for no such."""
+        """Answers a call to "/v1/SUBJECT[/NAME[/ACTION]]".
+
+        Returns:
+            The answer, or None if there is no such call.
+        """
         parts = request.path.strip("/").split("/")
         if len(parts) < 2 or parts[0] != "v1":
             return None
@@ -56,14 +60,14 @@
             return admin.answer_problem(503, e.reason, e.remedy)
 
     def show_plan(self, plan: plan_module.Plan) -> Any:
-        """Returns a plan as JSON values, with its progress."""
+        """Returns a plan with its progress, as JSON values."""
         shown = kinds.PLAN.dump(plan)
         progress = self.planner.progress(plan)
         shown["progress"] = {"done": progress.done, "total": progress.total}
         return shown
 
     def answer_plan(self, result: plans_module.Result) -> web.Answer:
-        """Returns the answer for a plan or its refusal."""
+        """Returns the answer for a plan or a refusal."""
         if isinstance(result, refusals.Refusal):
             status = (
                 400
@@ -81,7 +85,7 @@
 def propose_plan(
     ops: Operations, request: web.Request, operator: str, name: str
 ) -> web.Answer:
-    """Draws a plan from an intent file."""
+    """Creates a plan from an intent file."""
     text = request.read().decode("utf-8", errors="replace")
     change = intents.parse_intent(text)
     return ops.answer_plan(ops.planner.propose(change, operator))
@@ -91,7 +95,7 @@
 def list_plans(
     ops: Operations, request: web.Request, operator: str, name: str
 ) -> web.Answer:
-    """Lists the plans."""
+    """Lists all plans, the newest first."""
     plans = [ops.show_plan(p) for p in ops.planner.list()]
     return web.answer_json(200, {"plans": plans})
 
@@ -108,7 +112,7 @@
 def confirm_plan(
     ops: Operations, request: web.Request, operator: str, name: str
 ) -> web.Answer:
-    """Puts a plan in force."""
+    """Puts a plan into force."""
     return ops.answer_plan(ops.planner.confirm(name, operator))
 
 
@@ -124,7 +128,7 @@
 def show_status(
     ops: Operations, request: web.Request, operator: str, name: str
 ) -> web.Answer:
-    """Shows members, generation, reachability and the object API's age."""
+    """Shows the generation, members, missing items and object API's age."""
     world = ops.world
     sets = world.replica_sets()
     required = world.catalog.required
@@ -155,7 +159,7 @@
 def show_models(
     ops: Operations, request: web.Request, operator: str, name: str
 ) -> web.Answer:
-    """Lists what callers can name and where it is resident."""
+    """Lists the names that callers can use and where they are resident."""
     sets = ops.world.replica_sets()
     rows = []
     for target in sorted(
@@ -181,7 +185,7 @@
 def show_endpoints(
     ops: Operations, request: web.Request, operator: str, name: str
 ) -> web.Answer:
-    """Lists the endpoints with memory, phase and last report."""
+    """Lists the endpoints with memory, phase and age of the last report."""
     ledgers = ops.world.ledgers.objects
     leaving = {
         f.subject for f in ops.world.node.facts(facts.Topic.LEAVING) if f.value
@@ -215,7 +219,7 @@
 def dump_instance(
     ops: Operations, request: web.Request, operator: str, name: str
 ) -> web.Answer:
-    """Dumps the state of both daemons of an instance."""
+    """Returns the state of both daemons of an instance."""
     dumps: dict[str, Any] = {}
     for role in ("entry", "control"):
         member = ops.world.node.find(f"{role}/{name}")
@@ -234,9 +238,9 @@
 def drain_instance(
     ops: Operations, request: web.Request, operator: str, name: str
 ) -> web.Answer:
-    """Begins the planned stop of both daemons of an instance."""
+    """Starts the planned stop of both daemons of an instance."""
     draining = []
-    # The entry first: it has callers, and it asks nothing of the control.
+    # The entry first: it has callers, and it makes no calls to the control.
     for role in ("entry", "control"):
         member = ops.world.node.find(f"{role}/{name}")
         if member is None:
--- a/src/wayslip/control/plans.py
+++ b/src/wayslip/control/plans.py
@@ -1,9 +1,9 @@
-"""Plans from intent to force: propose, confirm, cancel.
+"""The life cycle of plans: propose, confirm, cancel, finish.
 
-A confirmation claims the plan by a conditional update, checks the world, and
-then puts the change into the configuration object, with the plan's id beside
-it. That id is how a confirmation whose answer was lost is found again, and
-why no plan is applied twice.
+A confirmation claims the plan by a conditional update, checks that the state
+which the plan was based on is unchanged, and then writes the change to the
+configuration object, together with the plan's id. By that id a confirmation
+whose answer was lost is recognised, so that no plan is applied twice.
 """
 
 import dataclasses
@@ -22,22 +22,28 @@
 from wayslip.objects import kinds
 
 _LOG = logging.getLogger(__name__)
+# After this time another operator may continue a confirmation that did not
+# complete.
 _CLAIM_TIMEOUT_SECONDS = 10.0
-_MAX_ENDED_PLANS = 100
+# Older plans are deleted, except confirmed ones.
+_MAX_PLANS = 100
 
 Result = plan_module.Plan | refusals.Refusal
 
 
 @dataclasses.dataclass(frozen=True)
 class Progress:
-    """How many of a plan's steps the ledgers show as done."""
+    """How many of a plan's steps are done, by the ledgers."""
 
     done: int
     total: int
 
 
 class Planner:
-    """The operators' and automatic placement's way to change anything."""
+    """Creates, confirms and cancels plans.
+
+    Operators and automatic placement change the configuration only through it.
+    """
 
     def __init__(
         self,
@@ -57,7 +63,13 @@
         author: str,
         replicas: dict[str, int] | None = None,
     ) -> Result:
-        """Draws and stores a plan; nothing else changes."""
+        """Creates and stores a plan; nothing else changes.
+
+        Args:
+            change: The change of the configuration.
+            author: Who proposes it, an operator or automatic placement.
+            replicas: Desired replicas of models, instead of the models' own.
+        """
         world = self._read_world()
         limits = self._settings.placement
         store = plan_module.WeightStore(limits.load_rate, limits.load_slots)
@@ -78,7 +90,7 @@
         return plan
 
     def _read_world(self) -> plan_module.World:
-        """Reads configuration and ledgers themselves, not their copies."""
+        """Reads configuration and ledgers from the object API, uncached."""
         stored = self._client.find(kinds.CONFIGURATION, kinds.CURRENT)
         if stored is not None:
             self._world.node.holder.offer(stored.value, "objects")
@@ -106,7 +118,7 @@
         return sorted(plans, key=lambda p: -p.at)
 
     def progress(self, plan: plan_module.Plan) -> Progress:
-        """Returns how far a plan has come, as the ledgers show it."""
+        """Returns how many of a plan's steps are done, by the ledgers."""
         ledgers = self._world.ledgers.objects
         done = 0
         for step in plan.steps:
@@ -123,11 +135,13 @@
     # Confirming
 
     def confirm(self, plan_id: str, operator: str) -> Result:
-        """Puts a plan in force, once, if its world is still the same.
+        """Puts a plan into force once, unless its basis has changed.
+
+        The basis is the configuration and the engines that it was made for.
 
         Raises:
-            ObjectUnavailableError: It may or may not be in force; confirming
-                again is safe and tells.
+            ObjectUnavailableError: The plan may or may not be in force;
+                confirming again is safe and returns the result.
         """
         claimed = self._claim(plan_id, operator)
         if isinstance(claimed, refusals.Refusal):
@@ -175,7 +189,7 @@
             return refusals.Refusal(
                 refusals.Reason.WRONG_STATE,
                 f"plan {plan_id} is {known.state} by {known.ended_by};"
-                " draw a new plan if something is left to change",
+                " make a new plan if something is left to change",
             )
 
         stored = self._client.change(kinds.PLAN, plan_id, step)
@@ -195,8 +209,8 @@
             if changed:
                 return refusals.Refusal(
                     refusals.Reason.WORLD_CHANGED,
-                    f"plan {plan.id} was drawn against another world;"
-                    f" changed since: {', '.join(changed)};"
+                    f"the state has changed since plan {plan.id} was made"
+                    f" ({', '.join(changed)});"
                     " apply the file again for a new plan",
                 )
             return known.apply(plan.change, plan.id, operator)
@@ -215,7 +229,7 @@
     # Ending
 
     def cancel(self, plan_id: str, operator: str) -> Result:
-        """Cancels a plan that was not confirmed."""
+        """Cancels a plan that has not been confirmed."""
 
         def step(known: plan_module.Plan | None) -> Result:
             if known is None or known.state not in (
@@ -226,7 +240,7 @@
                 return refusals.Refusal(
                     refusals.Reason.WRONG_STATE,
                     f"plan {plan_id} is {state}; only a proposed plan can be"
-                    " cancelled, apply the opposite to undo one",
+                    " cancelled; apply the reverse change to undo one",
                 )
             return dataclasses.replace(
                 known,
@@ -238,7 +252,7 @@
         return stored if isinstance(stored, refusals.Refusal) else stored.value
 
     def _cancel_claimed(self, plan_id: str, operator: str) -> None:
-        """Marks a claimed plan whose world had changed as cancelled."""
+        """Cancels a claimed plan that could not be applied."""
 
         def step(known: plan_module.Plan | None) -> Result:
             assert known is not None
@@ -251,9 +265,9 @@
         self._client.change(kinds.PLAN, plan_id, step)
 
     def finish(self) -> None:
-        """Marks confirmed plans whose steps are all done; drops old plans."""
+        """Marks completed plans as done and deletes old plans."""
         for index, plan in enumerate(self.list()):
-            if index >= _MAX_ENDED_PLANS and plan.state is not (
+            if index >= _MAX_PLANS and plan.state is not (
                 plan_module.PlanState.CONFIRMED
             ):
                 self._client.delete(kinds.PLAN, plan.id)
--- a/src/wayslip/control/repair.py
+++ b/src/wayslip/control/repair.py
@@ -1,7 +1,7 @@
-"""Automatic placement: repairs what is placed nowhere live.
+"""Automatic placement of items that are placed on no live engine.
 
-It notices items that must be reachable and are placed on no live engine, or
-that callers ask for, and draws and confirms a plan like an operator would.
+The repairer looks for required items that are placed on no live engine, and
+creates and confirms a plan for them as an operator would.
 """
 
 import logging
@@ -26,7 +26,7 @@
 
 
 class Repairer:
-    """Runs on every control; one of them usually acts."""
+    """Runs on every control; usually only its owner repairs."""
 
     def __init__(
         self,
@@ -42,11 +42,11 @@
         )
 
     def start(self) -> None:
-        """Starts to look for what needs repair."""
+        """Starts the thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Ends after the repair that is under way."""
+        """Stops after the current repair."""
         self._stopping.set()
 
     def _run(self) -> None:
@@ -67,7 +67,11 @@
         return owner == self._world.node.identity.name
 
     def repair(self) -> bool:
-        """Draws and confirms a plan if something is placed nowhere live."""
+        """Creates and confirms a plan for required items on no live engine.
+
+        Returns:
+            Whether a plan was put into force.
+        """
         missing = find_unplaced(self._world.catalog, self._live_engines())
         if not missing:
             return False
--- a/src/wayslip/control/world.py
+++ b/src/wayslip/control/world.py
@@ -1,4 +1,4 @@
-"""What a control knows of the platform, the engines and its peers."""
+"""A control's view of the platform, the engines and its peers."""
 
 import dataclasses
 import threading
@@ -18,21 +18,21 @@
 from wayslip.objects import kinds
 from wayslip.peers import node as node_module
 
-# An engine that has not answered for this long gets no new placements.
+# An engine that has not answered for this time gets no new placements.
 UNRESPONSIVE_SECONDS = 5.0
 _LOST_TTL_SECONDS = 10.0
 
 
 @dataclasses.dataclass(frozen=True)
 class ReceivedReport:
-    """A report and when it came, steady seconds."""
+    """A report and the time of its arrival, in seconds of `clock.now`."""
 
     report: engine_module.Report
     at: float
 
 
 class WorldView:
-    """Soft state: lists and watches, reports, members, configuration."""
+    """Cached state: watched objects, reports, members and configuration."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
 
     @property
     def catalog(self) -> catalogs.Catalog:
-        """The names in force."""
+        """The catalog of the configuration in force."""
         return self.node.holder.catalog
 
     def engines(self) -> list[kinds.Endpoint]:
@@ -87,7 +87,7 @@
         return self.endpoints.objects.get(name)
 
     def replica_sets(self) -> dict[str, replicas.ReplicaSet]:
-        """Returns the replica sets by item, as last heard."""
+        """Returns the replica sets by item, as last received."""
         return {s.item: s for s in self._sets.objects.values()}
 
     def last_report(self, name: str) -> ReceivedReport | None:
@@ -96,7 +96,7 @@
             return self._reports.get(name)
 
     def is_live(self, endpoint: kinds.Endpoint) -> bool:
-        """Whether an engine may be given something new to hold."""
+        """Whether new items may be placed on an engine."""
         if endpoint.phase is kinds.Phase.LEAVING:
             return False
         published = self.node.facts(facts.Topic.LOST)
@@ -109,7 +109,11 @@
     def engine_states(
         self, ledgers: dict[str, ledger_module.Ledger] | None = None
     ) -> dict[str, placement.EngineState]:
-        """Returns the engines as the planner sees them."""
+        """Returns the engines' states for the planner, by name.
+
+        Args:
+            ledgers: Ledgers by engine; by default the cached ones.
+        """
         known = self.ledgers.objects if ledgers is None else ledgers
         states = {}
         for endpoint in self.engines():
@@ -123,10 +127,10 @@
             )
         return states
 
-    # Taking in
+    # Recording
 
     def record_report(self, name: str, report: engine_module.Report) -> None:
-        """Keeps an engine's report."""
+        """Records an engine's report."""
         with self._lock:
             self._reports[name] = ReceivedReport(report, clock.now())
             lost_since = self._unanswered_since.pop(name, None)
@@ -134,7 +138,10 @@
             self._publish_lost(name, 0.0)
 
     def record_missing_report(self, name: str) -> None:
-        """Notes that an engine did not answer; tells peers once it is dead."""
+        """Records that an engine did not answer.
+
+        Peers are notified after `UNRESPONSIVE_SECONDS` without an answer.
+        """
         with self._lock:
             since = self._unanswered_since.setdefault(name, clock.now())
         if clock.now() - since > UNRESPONSIVE_SECONDS:
@@ -162,7 +169,8 @@
         )
 
     def _watches_configuration(self) -> bool:
-        # A few watch the object; the others hear of it from their peers.
+        # Only a few controls watch the object; the others receive the
+        # configuration from their peers.
         controls = self.node.live_names(membership.Role.CONTROL)
         ranked = ownership.rank_owners("configuration", controls)
         return self.node.identity.name in ranked[: self._watchers]
--- a/src/wayslip/peers/__init__.py
+++ b/src/wayslip/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links between daemons: frames, calls, membership and gossip."""
+"""Communication between daemons: frames, calls, membership, gossip."""
--- a/src/wayslip/peers/calls.py
+++ b/src/wayslip/peers/calls.py
@@ -1,8 +1,8 @@
 """Calls between daemons: a request and its answer over a websocket.
 
-A connection carries one call at a time; idle ones are kept for the next. Both
-ends prove the peer key through the first frames, which are sealed under a key
-made from both nonces.
+A connection carries one call at a time; idle connections are reused. Frames
+are authenticated with a key derived from the peer key and the nonces of both
+ends, so that the first frames prove that both ends have the peer key.
 """
 
 from collections.abc import Callable
@@ -35,7 +35,7 @@
 
 
 class Server:
-    """Answers peers' calls by the handler of each message type."""
+    """Answers peers' calls with the handler of each message type."""
 
     def __init__(
         self,
@@ -62,15 +62,15 @@
         )
 
     def handle(self, kind: type, handler: Handler) -> None:
-        """Files the handler of a message type."""
+        """Registers the handler of a message type."""
         self._handlers[kind] = handler
 
     def start(self) -> None:
-        """Serves in a thread."""
+        """Starts to serve in a thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stops taking calls."""
+        """Stops accepting calls."""
         self._server.shutdown()
 
     def _serve(self, conn: ws_server.ServerConnection) -> None:
@@ -105,7 +105,7 @@
         handler = self._handlers.get(type(message))
         if handler is None:
             return messages.Failed(
-                f"{type(message).__name__} is not for this process",
+                f"{type(message).__name__} is not handled by this process",
                 "ask the other daemon of the instance",
             )
         try:
@@ -113,9 +113,11 @@
         except errors.WayslipError as e:
             return messages.Failed(e.reason, e.remedy)
         except Exception:
-            # A fault in one call must not take the peer link down.
+            # A fault in one call must not close the connection.
             _LOG.exception("peer_call_failed")
-            return messages.Failed("the peer failed", "see the peer's log")
+            return messages.Failed(
+                "the peer failed to answer", "see the peer's log"
+            )
 
 
 class _Link:
@@ -129,7 +131,7 @@
             compression=None,
             proxy=None,
         )
-        # The link outlives this block; whoever drops it closes `conn`.
+        # The connection outlives this block; the owner of the link closes it.
         self.conn = contextlib.ExitStack().enter_context(connecting)
         server_nonce = _receive_nonce(self.conn)
         nonce = frames.make_nonce()
@@ -145,7 +147,7 @@
 
 
 class Client:
-    """Calls peers. Safe for many threads."""
+    """Calls peers. Safe for use by several threads."""
 
     def __init__(self, key: bytes, limits: settings.Limits) -> None:
         self._key = key
@@ -156,11 +158,17 @@
     def call(
         self, address: str, message: object, kind: type[A], timeout: float
     ) -> A:
-        """Sends a message and returns the answer, which is of a known type.
+        """Sends a message and returns the answer.
+
+        Args:
+            address: The peer, "IP:PORT".
+            message: The message to send.
+            kind: The type of the expected answer.
+            timeout: Seconds to wait for the answer.
 
         Raises:
-            NotSentError: The peer can not have seen the message.
-            PeerError: It may have seen it, or it refused.
+            NotSentError: The message was not sent.
+            PeerError: The peer may have received the message, or refused it.
         """
         link = self._acquire_link(address)
         try:
@@ -174,7 +182,7 @@
             link.conn.close_socket()
             raise errors.PeerError(
                 f"{address} did not answer ({type(e).__name__})",
-                "the peer may have died; the call may have had effect",
+                "the peer may have crashed; the call may have taken effect",
             ) from e
         self._release_link(address, link)
         if isinstance(answer, messages.Failed):
@@ -229,7 +237,7 @@
 def _as_bytes(frame: str | bytes) -> bytes:
     if isinstance(frame, str):
         raise errors.FrameError(
-            "a frame is text", "run the same release on all instances"
+            "received a text frame", "run the same release on all instances"
         )
     return frame
 
--- a/src/wayslip/peers/frames.py
+++ b/src/wayslip/peers/frames.py
@@ -1,9 +1,9 @@
 """Frames between daemons: CBOR with a message authentication code.
 
-A datagram carries the sender's clock and is refused when it is too old, so a
-recorded one can not be played back later. On a connection, frames are numbered
-under a key made from both ends' nonces, so none can be repeated, left out or
-played into another connection.
+A datagram carries the sender's time and is refused when it is too old, so that
+a recorded datagram cannot be replayed later. On a connection, frames are
+numbered and authenticated with a key derived from the nonces of both ends, so
+that none can be repeated, omitted or replayed on another connection.
 """
 
 import dataclasses
@@ -18,7 +18,8 @@
 
 _MAC_BYTES = 16
 NONCE_BYTES = 16
-# Instances' clocks may differ by this much, and a datagram be this late.
+# Upper bound of the difference of two instances' clocks plus the delay of a
+# datagram.
 MAX_AGE_SECONDS = 30.0
 
 
@@ -43,17 +44,18 @@
         return float(stamp), plain
     except (cbor2.CBORDecodeError, ValueError, TypeError) as e:
         raise errors.FrameError(
-            "a frame is no CBOR pair", "run the same release on all instances"
+            "a frame is not a CBOR pair",
+            "run the same release on all instances",
         ) from e
 
 
 def seal_datagram(key: bytes, message: object, now: float) -> bytes:
-    """Returns the datagram of a message; now is the wall clock."""
+    """Returns the datagram of a message; `now` is the wall-clock time."""
     return _seal(key, now, message)
 
 
 def open_datagram(key: bytes, frame: bytes, now: float) -> object:
-    """Returns the message of a datagram.
+    """Returns the message of a datagram; `now` is the wall-clock time.
 
     Raises:
         FrameError: It is malformed, not authentic or too old.
@@ -61,21 +63,27 @@
     stamp, plain = _open(key, frame)
     if abs(now - stamp) > MAX_AGE_SECONDS:
         raise errors.FrameError(
-            "a datagram is too old", "keep the instances' clocks together"
+            "a datagram is too old", "synchronize the instances' clocks"
         )
     return messages.from_plain(plain)
 
 
 @dataclasses.dataclass
 class Session:
-    """Seals and opens the frames of one connection, in order."""
+    """Encodes and authenticates the frames of one direction of a connection.
+
+    Attributes:
+        key: Authenticates the frames.
+        sent: Number of frames sealed.
+        received: Number of frames opened.
+    """
 
     key: bytes
     sent: int = 0
     received: int = 0
 
     def seal(self, message: object) -> bytes:
-        """Returns the next frame."""
+        """Returns a message as the next frame."""
         self.sent += 1
         return _seal(self.key, self.sent, message)
 
@@ -96,14 +104,14 @@
 
 
 def make_nonce() -> bytes:
-    """Returns a fresh nonce."""
+    """Returns a new random nonce."""
     return secrets.token_bytes(NONCE_BYTES)
 
 
 def make_sessions(
     key: bytes, client_nonce: bytes, server_nonce: bytes
 ) -> tuple[Session, Session]:
-    """Returns the sessions for frames to the server and to the client."""
+    """Returns the session to the server and the session to the client."""
     nonces = client_nonce + server_nonce
     to_server = hashlib.blake2b(b"server" + nonces, key=key[:64]).digest()
     to_client = hashlib.blake2b(b"client" + nonces, key=key[:64]).digest()
--- a/src/wayslip/peers/holder.py
+++ b/src/wayslip/peers/holder.py
@@ -1,4 +1,4 @@
-"""The configuration that a process holds, which only rises."""
+"""The configuration of a process, whose generation never decreases."""
 
 from collections.abc import Callable
 import logging
@@ -15,9 +15,10 @@
 
 
 class ConfigurationHolder:
-    """Takes configurations from any source and keeps the newest.
+    """Accepts configurations from any source and keeps the newest.
 
-    Reading is free of locks: the current values are replaced whole.
+    Readers need no lock: each update replaces the attributes, and the objects
+    that they refer to are never modified.
     """
 
     def __init__(self) -> None:
@@ -29,20 +30,20 @@
 
     @property
     def generation(self) -> int:
-        """The generation in force here."""
+        """The generation in force in this process."""
         return self.configuration.generation
 
     def subscribe(self, listener: Listener) -> None:
-        """Has a function called, under the lock, after each rise."""
+        """Registers a function to call, under the lock, after each update."""
         self._listeners.append(listener)
 
     def merge(self, delta: configuration.Delta, source: str) -> bool:
-        """Takes a delta in; returns whether the generation rose."""
+        """Applies a delta; returns whether the configuration changed."""
         with self._lock:
             return self._set(self.configuration.merge(delta), source)
 
     def offer(self, config: configuration.Configuration, source: str) -> bool:
-        """Takes a whole configuration in, unless it is not newer."""
+        """Applies a full configuration if newer; returns whether it was."""
         with self._lock:
             if config.generation <= self.generation:
                 return False
--- a/src/wayslip/peers/messages.py
+++ b/src/wayslip/peers/messages.py
@@ -15,9 +15,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Gossip:
-    """A probe with what rides on it.
+    """A membership probe with piggybacked facts.
 
     Attributes:
+        probe: The membership message.
+        facts: Facts that the sender forwards.
         generation: The sender's configuration generation.
     """
 
@@ -29,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pull:
-    """Asks for the configuration after a generation."""
+    """Requests the configuration's changes after a generation."""
 
     since: int
     tag: Literal["pull"] = "pull"
@@ -37,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Pulled:
-    """The entries changed since."""
+    """The changes since the requested generation."""
 
     delta: configuration.Delta
     tag: Literal["pulled"] = "pulled"
@@ -45,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Join:
-    """Tells what the sender knows and asks for the same."""
+    """Sends the sender's members and facts and requests the receiver's."""
 
     members: tuple[membership.Member, ...]
     facts: tuple[facts.Fact, ...]
@@ -67,7 +69,7 @@
     """A request that may not be repeated, sent to its key's usual owner.
 
     Attributes:
-        seconds_left: Until the caller's deadline.
+        seconds_left: Seconds until the caller's deadline.
     """
 
     caller: str
@@ -83,11 +85,11 @@
 
 @dataclasses.dataclass(frozen=True)
 class Forwarded:
-    """The whole answer to a forwarded request.
+    """The complete answer to a forwarded request.
 
     Attributes:
         outcome: The value of `Wayslip-Outcome`.
-        retry_after: Seconds, 0 for none.
+        retry_after: Seconds for `Retry-After`, 0 for none.
     """
 
     status: int
@@ -100,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Dump:
-    """Asks for the dump of a process's state."""
+    """Requests a dump of a process's state."""
 
     tag: Literal["dump"] = "dump"
 
@@ -115,7 +117,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Drain:
-    """Asks a process for a planned stop."""
+    """Requests a planned stop of a process."""
 
     operator: str
     tag: Literal["drain"] = "drain"
@@ -130,7 +132,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Resumed:
-    """Tells the entry that relayed a stream first that it goes on here."""
+    """Notifies a stream's first entry that the sender has resumed it."""
 
     request_id: str
     tag: Literal["resumed"] = "resumed"
@@ -138,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class ListEndpoints:
-    """Asks for the platform's list of endpoints, as an entry last knew it."""
+    """Requests the platform's list of endpoints as last received."""
 
     tag: Literal["list_endpoints"] = "list_endpoints"
 
@@ -153,7 +155,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Noted:
-    """A message was taken in."""
+    """Confirms that a message was processed."""
 
     tag: Literal["noted"] = "noted"
 
@@ -191,7 +193,7 @@
 
 
 def to_plain(message: object) -> object:
-    """Returns a message as values that CBOR can carry."""
+    """Returns a message as values that CBOR can encode."""
     return _ADAPTER.dump_python(message, mode="python")  # type: ignore[arg-type]
 
 
@@ -199,13 +201,13 @@
     """Returns the typed message of decoded CBOR.
 
     Raises:
-        FrameError: It is no message.
+        FrameError: The value is not a valid message.
     """
     try:
         return _ADAPTER.validate_python(value)
     except pydantic.ValidationError as e:
         first = e.errors()[0]
         raise errors.FrameError(
-            f"no message: {first['loc']} {first['msg']}",
+            f"invalid message: {first['loc']} {first['msg']}",
             "run the same release on all instances",
         ) from e
--- a/src/wayslip/peers/node.py
+++ b/src/wayslip/peers/node.py
@@ -1,8 +1,8 @@
-"""A daemon among its peers: membership, facts and configuration by gossip.
+"""A daemon's peer node: membership, facts and configuration by gossip.
 
-One thread owns the membership and the datagram socket; all state that other
-threads read is behind one lock. A pull of configuration is a blocking call,
-so it has a thread of its own.
+One thread receives datagrams and runs the membership; one lock guards the
+state that other threads use. Pulls of the configuration are blocking calls and
+run in a separate thread.
 """
 
 import dataclasses
@@ -33,6 +33,7 @@
 _TICKS_PER_PERIOD = 5
 _JOIN_SECONDS = 5.0
 _CALL_SECONDS = 2.0
+# A new fact is added to this many outgoing datagrams.
 _SENDS_PER_FACT = 6
 
 A = TypeVar("A")
@@ -40,7 +41,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Identity:
-    """Who a daemon is among its peers."""
+    """The identity of a daemon among its peers."""
 
     role: membership_module.Role
     instance: settings_module.Instance
@@ -48,12 +49,12 @@
 
     @property
     def name(self) -> str:
-        """Role and instance, unique among members."""
+        """The member name, "ROLE/INSTANCE"."""
         return f"{self.role}/{self.instance.name}"
 
 
 class Node:
-    """Keeps a daemon in touch with the others."""
+    """Connects a daemon with its peers."""
 
     def __init__(
         self,
@@ -105,23 +106,23 @@
             threading.Thread(target=self._pull, name="pull", daemon=True),
         ]
 
-    # Life
+    # Life cycle
 
     def start(self) -> None:
-        """Starts to talk to peers."""
+        """Starts to communicate with peers."""
         self.calls.start()
         for thread in self._threads:
             thread.start()
 
     def leave(self) -> None:
-        """Tells the peers that this daemon is stopping."""
+        """Notifies peers that this daemon is stopping."""
         with self._lock:
             self._membership.leave()
             outgoing = self._push_targets(self._settings.peers.fanout)
         self._send_all(outgoing)
 
     def stop(self) -> None:
-        """Ends the threads and closes the sockets."""
+        """Stops the threads and closes the sockets."""
         self._stopping.set()
         self._threads[0].join(timeout=2.0)
         self.calls.stop()
@@ -133,16 +134,16 @@
     def live(
         self, role: membership_module.Role | None = None
     ) -> tuple[membership_module.Member, ...]:
-        """Returns the members that work."""
+        """Returns alive and suspect members, of one role or of all."""
         with self._lock:
             return self._membership.live(role)
 
     def live_names(self, role: membership_module.Role) -> list[str]:
-        """Returns the names of the members of a role that work."""
+        """Returns the names of a role's alive and suspect members."""
         return [m.name for m in self.live(role)]
 
     def members(self) -> tuple[membership_module.Member, ...]:
-        """Returns all members that are remembered."""
+        """Returns all known members, including dead ones."""
         with self._lock:
             return self._membership.members
 
@@ -159,18 +160,18 @@
     def arrivals(
         self, topic: facts_module.Topic
     ) -> tuple[tuple[facts_module.Fact, float], ...]:
-        """Returns the facts of a topic with their steady arrival times."""
+        """Returns a topic's facts with arrival times (by `clock.now`)."""
         with self._lock:
             return self._facts.arrivals(topic)
 
-    # Telling and asking
+    # Publishing and calling
 
     def subscribe(self, listener) -> None:  # type: ignore[no-untyped-def]
-        """Has a function called with the facts that were news."""
+        """Registers a function to call with facts that are new or newer."""
         self._listeners.append(listener)
 
     def publish(self, fact: facts_module.Fact) -> None:
-        """Tells a fact to a few peers at once, who tell it on."""
+        """Sends a fact to a few peers at once, which forward it."""
         self._apply_facts((fact,))
 
     def call(
@@ -180,7 +181,7 @@
         kind: type[A],
         timeout: float = _CALL_SECONDS,
     ) -> A:
-        """Calls a member, see `calls.Client.call`."""
+        """Calls a member; see `calls.Client.call`."""
         return self._client.call(member.address, message, kind, timeout)
 
     # Gossip
@@ -250,7 +251,7 @@
                 listener(changed)
 
     def push_generation(self) -> None:
-        """Tells a few peers at once that the configuration rose."""
+        """Announces the current generation to a few peers at once."""
         with self._lock:
             outgoing = self._push_targets(self._settings.peers.fanout)
         self._send_all(outgoing)
@@ -296,7 +297,7 @@
         try:
             self._pulls.put_nowait(address)
         except queue.Full:
-            # The next datagram asks again.
+            # The next datagram requests the pull again.
             pass
 
     def _pull(self) -> None:
--- a/tests/control/test_operators.py
+++ b/tests/control/test_operators.py
@@ -122,7 +122,7 @@
         ('[[models]]\nname = "m"', "models[0]"),
         ('[[services]]\nname = "q"\nendpoints = []\nx = 1', "unknown key"),
         ('[[models]]\nname="z"\npool="none"\nversion="v1"', "no pool"),
-        ('[[delete]]\nkind = "placement"\nname = "e0"', "can not be deleted"),
+        ('[[delete]]\nkind = "placement"\nname = "e0"', "cannot be deleted"),
         (system_module.grow_intent(name="huge", size=10**9), "room"),
         (system_module.grow_intent(name="neg", size=-1), "greater"),
         ('[[delete]]\nkind = "model"\nname = "none"', "no model none"),
