--- a/src/wayslip/__init__.py
+++ b/src/wayslip/__init__.py
@@ -1,3 +1,3 @@
-"""Wayslip serves many models to callers on fewer accelerators."""
+"""Wayslip serves many bursty models on fewer accelerators."""
 
 __version__ = "0.1.0"
--- a/src/wayslip/admin.py
+++ b/src/wayslip/admin.py
@@ -1,7 +1,7 @@
-"""What every daemon answers on its operators' port.
+"""The operators' port of a daemon: health, metrics, state and calls.
 
-`/healthz` and `/readyz` are open, for the balancer; everything else needs an
-operator's key.
+`/healthz` and `/readyz` need no key, so that the load balancer can call them;
+all other paths need an operator's key.
 """
 
 from collections.abc import Callable
@@ -22,12 +22,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Hooks:
-    """What a daemon adds to the common answers.
+    """Functions by which a daemon answers on its operators' port.
 
     Attributes:
-        is_ready: Whether the balancer should send callers.
-        dump: Returns the state of the process, for the dump.
-        extra: Answers further paths for a named operator, or returns None.
+        is_ready: Whether the load balancer should send callers.
+        dump: Returns the state of the process.
+        extra: Answers other paths, given the request and the operator's name;
+            returns None for unknown paths.
     """
 
     is_ready: Callable[[], bool]
@@ -38,7 +39,7 @@
 def find_operator(
     operators: tuple[settings_module.Operator, ...], header: str
 ) -> str | None:
-    """Returns the name behind an Authorization header, None if none fits."""
+    """Returns the operator of an Authorization header, None if unknown."""
     scheme, _, key = header.partition(" ")
     if scheme.lower() != "bearer":
         return None
@@ -49,7 +50,10 @@
 
 
 def render_state(value: Any) -> str:
-    """Returns a state dump as JSON text; sets and enums become plain."""
+    """Returns a state dump as JSON text.
+
+    Sets become lists, enums their values, and unknown types text.
+    """
     plain = pydantic_core.to_jsonable_python(value, fallback=str)
     return json.dumps(plain, indent=1, sort_keys=True)
 
@@ -92,7 +96,7 @@
         )
         if operator is None:
             return answer_problem(
-                401, "no operator has this key", "set WAYSLIP_KEY"
+                401, "the key belongs to no operator", "set WAYSLIP_KEY"
             )
         match request.path:
             case "/metrics":
@@ -106,10 +110,10 @@
         if answer is not None:
             return answer
         return answer_problem(
-            404, f"there is no {request.path}", "see docs/operators.md"
+            404, f"there is no path {request.path}", "see docs/operators.md"
         )
 
 
 def answer_problem(status: int, reason: str, remedy: str) -> web.Answer:
-    """Returns an answer that says what is wrong and what to do."""
+    """Returns an error answer with its reason and remedy."""
     return web.answer_json(status, {"reason": reason, "remedy": remedy})
--- a/src/wayslip/cli/__init__.py
+++ b/src/wayslip/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The programs."""
+"""The command-line programs."""
--- a/src/wayslip/cli/ctl.py
+++ b/src/wayslip/cli/ctl.py
@@ -1,4 +1,4 @@
-"""Operators' command line.
+"""Command line for operators.
 
 Usage:
   wayslipctl [options] apply FILE
@@ -18,37 +18,38 @@
   wayslipctl --help
 
 Commands:
-  apply      Send what you want and get a plan; nothing changes yet.
+  apply      Create a plan from a file; nothing changes yet.
   plan       Show a plan: steps, cost, effect on callers, progress.
-  confirm    Put a plan in force, unless its world has changed meanwhile.
-  cancel     Drop a plan that was not confirmed.
+  confirm    Put a plan into force, unless its basis has changed.
+  cancel     Cancel a plan that has not been confirmed.
   plans      List the plans.
-  status     Members, configuration, and what is not resident.
-  models     What callers can name, and where it is ready.
-  endpoints  Endpoints with their memory, phase and load.
-  dump       The whole state of both daemons of an instance.
-  drain      Begin the planned stop of an instance.
-  explain    Tell from instances' logs what happened to a request; reads files,
-             or standard input. The line that decided is marked with *.
-  report     Sum up from instances' logs how requests ended, and what they were
-             lost to; reads files, or standard input.
-  suspects   Requests, by the digest of their content, that endpoints ended
-             under; ask any gateway with --url. Those marked * reach none.
-  lift       Let such a request reach endpoints again, at all gateways.
+  status     Show members, configuration, and items that are not resident.
+  models     List the names that callers can use, and where they are ready.
+  endpoints  List endpoints with their memory and phase.
+  dump       Show the state of both daemons of an instance.
+  drain      Start the planned stop of an instance.
+  explain    Show from instances' logs what happened to a request; reads files,
+             or standard input. The line that decided its outcome is marked *.
+  report     Summarize from instances' logs how requests ended, and why some
+             were not answered; reads files, or standard input.
+  suspects   List requests, by content digest, that endpoints crashed under;
+             ask any gateway with --url. Those marked * are blocked.
+  lift       Unblock such a request at all gateways.
 
 Options:
   --url=URL        Operators' port of any control [default: http://127.0.0.1:9080].
-  --key-file=FILE  File with your key; else the variable WAYSLIP_KEY is used.
+  --key-file=FILE  File with the operator's key; by default the environment
+                   variable WAYSLIP_KEY is used.
   --json           Print JSON.
   --timeout=S      Seconds to wait for an answer [default: 15].
-  --wait=SECONDS   After confirming, wait so long for the steps to be done.
+  --wait=SECONDS   After confirming, longest wait for the steps to be done.
   --by=FIELD       Group by route, organisation, model, endpoint, instance or
                    second [default: route].
   --help           Show this text.
 
 Exit codes:
-  0  done                       3  refused: the world has changed, or the
-  1  the control failed            plan was ended by someone else
+  0  done                       3  refused: the plan's basis has changed, or
+  1  the control failed            it was confirmed or cancelled by another
   2  the command or file is     4  no control answered; asking again is safe
      wrong                      5  not done within --wait
 """
@@ -86,7 +87,7 @@
 
 
 class Control:
-    """Calls a control's operators' port."""
+    """Client of the operators' port of a control or gateway."""
 
     def __init__(self, url: str, key: str, timeout: float) -> None:
         self._url = url.rstrip("/")
@@ -97,7 +98,7 @@
         """Returns the reply to a call.
 
         Raises:
-            WayslipError: No control answered.
+            WayslipError: There was no answer, or it was not JSON.
         """
         try:
             response = self._http.request(
@@ -109,18 +110,19 @@
         except urllib3.exceptions.HTTPError as e:
             raise errors.WayslipError(
                 f"{self._url} does not answer ({type(e).__name__})",
-                "name another instance with --url; asking again is safe",
+                "try another instance with --url; asking again is safe",
             ) from e
         try:
             return Reply(response.status, json.loads(response.data))
         except ValueError as e:
             raise errors.WayslipError(
-                f"{self._url} sent no JSON", "is it an operators' port?"
+                f"{self._url} did not send JSON",
+                "check that it is an operators' port",
             ) from e
 
 
 class Reply:
-    """A control's answer."""
+    """The answer to a call."""
 
     def __init__(self, status: int, value: Any) -> None:
         self.status = status
@@ -154,7 +156,7 @@
         wait = float(options["--wait"] or 0)
     except ValueError as e:
         raise errors.BadRequestError(
-            "--timeout or --wait is no number", "give seconds"
+            "--timeout or --wait is not a number", "give seconds"
         ) from e
     if options["explain"]:
         return _explain(options)
@@ -177,12 +179,12 @@
 
 
 def _explain(options: Any) -> int:
-    """Prints the story of a request from logs."""
+    """Prints what the logs show about a request."""
     found = story.build_story(options["REQUEST"], _read_logs(options))
     if found is None:
         raise errors.BadRequestError(
-            f"no line names request {options['REQUEST']}",
-            "give the logs of all instances around its time",
+            f"no log line contains request {options['REQUEST']}",
+            "give the logs of all instances around the request's time",
         )
     if options["--json"]:
         print(json.dumps(dataclasses.asdict(found), indent=1))
@@ -192,7 +194,7 @@
 
 
 def _report(options: Any) -> int:
-    """Prints how requests ended, from logs."""
+    """Prints a summary of how requests ended, from logs."""
     groups = report.summarize(_read_logs(options), options["--by"])
     if options["--json"]:
         print(json.dumps([dataclasses.asdict(g) for g in groups], indent=1))
@@ -202,7 +204,7 @@
 
 
 def _read_logs(options: Any) -> list[str]:
-    """Returns the lines of the logs that are named, or of standard input."""
+    """Returns the lines of the given logs, or of standard input."""
     if not options["LOG"]:
         return sys.stdin.read().splitlines()
     texts = [_read(path).decode(errors="replace") for path in options["LOG"]]
@@ -210,7 +212,7 @@
 
 
 def _asks_gateway(options: Any) -> bool:
-    """Whether a command is for a gateway, whose operators' port has no key."""
+    """Whether a command calls a gateway, whose operators' port needs no key."""
     return bool(options["suspects"] or options["lift"])
 
 
@@ -221,7 +223,7 @@
         if key:
             return key
         raise errors.BadRequestError(
-            "there is no key", "set WAYSLIP_KEY or give --key-file"
+            "no key is given", "set WAYSLIP_KEY or use --key-file"
         )
     return _read(path).decode().strip()
 
@@ -231,7 +233,7 @@
         return pathlib.Path(path).read_bytes()
     except OSError as e:
         raise errors.BadRequestError(
-            f"{path}: {e.strerror}", "name a readable file"
+            f"{path}: {e.strerror}", "give a readable file"
         ) from e
 
 
@@ -380,7 +382,7 @@
     print(f"models {value['models']}, items {value['items']}")
     missing = ", ".join(value["not_resident"]) or "none"
     print(f"not resident: {missing}")
-    print(f"object API last heard {value['object_api_age']} s ago")
+    print(f"object API last answered {value['object_api_age']} s ago")
     _print_table(
         ("MEMBER", "STATUS", "ADDRESS", "HALL"),
         [
--- a/src/wayslip/cli/daemon.py
+++ b/src/wayslip/cli/daemon.py
@@ -1,4 +1,4 @@
-"""What the two daemons' programs share: settings, logs and signals."""
+"""Common code of the two daemons' programs: settings, logs, signals."""
 
 from collections.abc import Callable
 import os
@@ -22,14 +22,22 @@
     stopping: threading.Event
 
     def start(self) -> None:
-        """Starts all parts."""
+        """Starts all components."""
 
     def stop(self) -> None:
-        """Carries out the planned stop."""
+        """Runs the planned stop."""
 
 
 def run(usage: str, make: Callable[[settings_module.Settings], Daemon]) -> int:
-    """Runs a daemon from its command line; returns the exit code."""
+    """Runs a daemon until it is stopped.
+
+    Args:
+        usage: The usage text, by which docopt parses the command line.
+        make: Creates the daemon.
+
+    Returns:
+        The exit code of the process.
+    """
     options = docopt.docopt(usage)
     try:
         settings = settings_module.load_settings(options["--settings"])
@@ -48,11 +56,11 @@
         return EXIT_SETTINGS
     except OSError as e:
         print(
-            f"an address can not be used: {e}; free it or change the settings",
+            f"an address cannot be used: {e}; free it or change the settings",
             file=sys.stderr,
             flush=True,
         )
-        # Threads of the parts that did start would keep the process alive.
+        # Threads of components already started would keep the process alive.
         os._exit(EXIT_SETTINGS)
     _wait(daemon)
     daemon.stop()
@@ -61,8 +69,8 @@
 
 def _start(daemon: Daemon) -> None:
     def on_signal(number: int, frame: object) -> None:
-        # Only a flag: the stop itself runs in the main thread, and a second
-        # signal changes nothing.
+        # Only sets a flag: the stop itself runs in the main thread, and a
+        # second signal has no effect.
         daemon.stopping.set()
 
     signal.signal(signal.SIGTERM, on_signal)
@@ -71,6 +79,6 @@
 
 
 def _wait(daemon: Daemon) -> None:
-    # A wait with a time-out lets Python run the signal handlers.
+    # The time-out gives Python the opportunity to run signal handlers.
     while not daemon.stopping.wait(0.5):
         pass
--- a/src/wayslip/cli/entry.py
+++ b/src/wayslip/cli/entry.py
@@ -9,7 +9,7 @@
   --check          Check the settings and exit.
   --help           Show this text.
 
-Exit codes: 0 after a planned stop, 2 for settings that can not be used.
+Exit codes: 0 after a planned stop, 2 for unusable settings.
 """
 
 import sys
--- a/src/wayslip/cli/gateway.py
+++ b/src/wayslip/cli/gateway.py
@@ -1,19 +1,19 @@
-"""The gateway on the users' platform.
+"""The gateway.
 
 Usage:
   wayslip-gateway [--check]
   wayslip-gateway --help
 
-The platform names its settings file in an environment variable.
+The platform sets an environment variable to the path of the settings file.
 
 Options:
   --check  Check the settings and exit.
   --help   Show this text.
 
-Exit codes: 0 after a planned stop, 2 for settings that can not be used.
+Exit codes: 0 after a planned stop, 2 for unusable settings.
 """
 
-from wayslip.cli import hangup  # noqa: F401  # before what takes long
+from wayslip.cli import hangup  # noqa: F401  # before slow imports
 
 # isort: split
 
@@ -38,7 +38,7 @@
 
 
 def make_platform(options: options_module.Options) -> daemon.Platform:
-    """Returns the adapter's parts for an instance."""
+    """Returns the platform adapter for an instance."""
     address = addresses.split_address(options.store)
     return daemon.Platform(
         store=store.PlatformStore(address),
@@ -73,7 +73,7 @@
             runner.run(_run(options))
     except OSError as e:
         print(
-            f"an address can not be used: {e}; free it or change the settings",
+            f"an address cannot be used: {e}; free it or change the settings",
             file=sys.stderr,
         )
         return EXIT_SETTINGS
--- a/src/wayslip/cli/hangup.py
+++ b/src/wayslip/cli/hangup.py
@@ -1,9 +1,9 @@
-"""Ignores SIGHUP from its import on.
+"""Ignores SIGHUP as soon as it is imported.
 
-SIGHUP ends a process that has no handler for it. The programs set theirs once
-they run; until then they load their libraries, a few hundred milliseconds in
-which the platform may already tell them that their settings have changed.
-So this module is imported before anything else that takes time.
+SIGHUP terminates a process that has no handler for it. A program installs its
+handler only after it has imported its libraries. That takes a few hundred
+milliseconds, in which the platform may already send SIGHUP to report changed
+settings. So this module is imported before all slow imports.
 """
 
 import signal
--- a/src/wayslip/clock.py
+++ b/src/wayslip/clock.py
@@ -1,10 +1,10 @@
-"""The one clock that limits in time are measured on.
+"""The monotonic clock for all time limits.
 
-It never steps and goes on while the machine is suspended. The usual steady
-clock stands still then, so whatever is relied on for a bounded time, a lease, a
-confirmation, a part of a quota, would outlive its bound by the suspension. The
-event loops of our programs run on this clock too, so that their timers are due
-when the machine is back.
+The clock includes the time for which the machine was suspended.
+`time.monotonic` does not, so anything that is valid for a limited time, such
+as a lease, a confirmation or a share of a quota, would stay valid too long by
+the time suspended. The programs' event loops use this clock too, so that
+timers which became due during a suspension fire as soon as the machine resumes.
 """
 
 import asyncio
@@ -12,18 +12,18 @@
 
 
 def now() -> float:
-    """Returns seconds; only differences mean anything, on one machine."""
+    """Returns seconds; only differences on one machine are meaningful."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def find_suspended() -> float:
-    """Returns the seconds that the machine was suspended since it started."""
+    """Returns the seconds for which the machine was suspended since boot."""
     return now() - time.clock_gettime(time.CLOCK_MONOTONIC)
 
 
 class Loop(asyncio.SelectorEventLoop):
-    """An event loop whose timers count the time suspended."""
+    """An event loop whose timers include the time suspended."""
 
     def time(self) -> float:
-        """Returns the time that timers are set by."""
+        """Returns the time that timers are based on."""
         return now()
--- a/src/wayslip/errors.py
+++ b/src/wayslip/errors.py
@@ -1,12 +1,12 @@
-"""Typed errors whose messages name the remedy.
+"""Typed errors whose messages include a remedy.
 
-An error is raised for a fault of the caller of a function or of the outside
-world. An expected refusal is not an error: see `wayslip.refusals`.
+An error is raised for invalid use of a function and for failures of external
+systems. An expected refusal is not an error: see `wayslip.refusals`.
 """
 
 
 class WayslipError(Exception):
-    """A fault with its remedy.
+    """An error with its remedy.
 
     Attributes:
         reason: What went wrong, one sentence.
@@ -20,22 +20,22 @@
 
 
 class SettingsError(WayslipError):
-    """A settings file can not be used."""
+    """A settings file cannot be used."""
 
 
 class BadRequestError(WayslipError):
-    """A request from outside is malformed."""
+    """A request to this process is malformed."""
 
 
 class ObjectError(WayslipError):
-    """The object API did not do what was asked."""
+    """The object API did not carry out a request."""
 
 
 class ObjectFieldError(ObjectError):
-    """An object is not what its kind should be.
+    """An object does not match the schema of its kind.
 
     Attributes:
-        field: The first field that is wrong.
+        field: The first invalid field.
     """
 
     def __init__(self, reason: str, remedy: str, field: str) -> None:
@@ -44,7 +44,7 @@
 
 
 class ObjectConflictError(ObjectError):
-    """A conditional update met a newer version, so nothing was written."""
+    """A conditional update found a newer version and wrote nothing."""
 
 
 class ObjectMissingError(ObjectError):
@@ -56,19 +56,19 @@
 
 
 class WatchExpiredError(ObjectError):
-    """A watch asked for a version the object API no longer keeps."""
+    """A watch requested a version that the object API no longer keeps."""
 
 
 class EndpointError(WayslipError):
-    """An endpoint did not do what was asked."""
+    """An endpoint did not carry out a request."""
 
 
 class NotSentError(EndpointError):
-    """No byte of the request can have reached the endpoint."""
+    """No part of the request can have reached the endpoint."""
 
 
 class NobodyListensError(NotSentError):
-    """The endpoint's machine answers, and no process has the address."""
+    """The endpoint's machine answers, but no process has the address."""
 
 
 class EndpointUnclearError(EndpointError):
@@ -76,7 +76,7 @@
 
 
 class PeerError(WayslipError):
-    """A peer could not be reached or refused a call."""
+    """A peer did not answer or refused a call."""
 
 
 class FrameError(WayslipError):
@@ -84,4 +84,4 @@
 
 
 class InvariantError(AssertionError):
-    """A promise would have been broken; the change was not made."""
+    """A change was not made, since it would have violated an invariant."""
--- a/src/wayslip/logs.py
+++ b/src/wayslip/logs.py
@@ -1,8 +1,8 @@
-"""Logging of events, one line of key=value pairs each.
+"""Logging of events as lines of key=value pairs.
 
-Modules keep the customary `logging.getLogger(__name__)` and call `event` on
-it, so an event's fields stay data until a line is printed. Fields whose names
-look like secrets are masked here, in one place.
+Modules pass their `logging.getLogger(__name__)` to `event`, which keeps the
+fields of an event as data until its line is formatted. Fields whose names
+suggest secrets are masked by the formatter.
 """
 
 import collections
@@ -16,13 +16,13 @@
 
 _SECRET_WORDS = ("key", "token", "secret", "authorization", "password")
 _MASK = "***"
-# Lines that wait for a slow reader: about a megabyte.
+# Lines buffered for a slow reader: about a megabyte.
 MAX_BUFFERED_LINES = 4_000
-# Between writes, seconds; each costs a wake-up of its own.
+# Time between writes; each write costs a wake-up of the thread.
 FLUSH_PERIOD_SECONDS = 0.25
-# Longest wait for the reader at the end, seconds.
+# Longest wait for the reader when the writer is closed.
 CLOSE_TIMEOUT_SECONDS = 0.5
-# Lines of one event a second: some times what an instance decides at its
+# Lines of one event a second: several times what an instance logs at its
 # expected load of 20 requests a second.
 MAX_LINES_PER_SECOND = 300
 
@@ -36,7 +36,7 @@
 
 
 def mask(name: str, value: Any) -> Any:
-    """Returns the value, or a mask where the field's name is a secret's."""
+    """Returns the value, or a mask if the name suggests a secret."""
     lowered = name.lower()
     if any(word in lowered.split("_") for word in _SECRET_WORDS):
         return _MASK
@@ -47,7 +47,7 @@
     """Formats a record as one line of key=value pairs."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns the line of a record, with any traceback on the same line."""
+        """Returns the line of a record; a traceback stays on the same line."""
         pairs = [
             ("time", f"{record.created:.3f}"),
             ("level", record.levelname.lower()),
@@ -70,15 +70,15 @@
 
 
 class LineWriter:
-    """Writes lines in a thread of its own, so that no request waits for it.
+    """Writes lines in a separate thread, so that logging never blocks.
 
-    A reader that stops reading fills the buffer; then lines are left out and
-    counted, those below WARNING from half of the buffer on, so that plain
-    successes go before what went wrong.
+    If the reader stops reading, the buffer fills up. Then lines are dropped and
+    counted. Lines below WARNING are dropped once the buffer is half full, so
+    that it has space left for warnings and errors.
 
     Args:
-        stream: Where lines go.
-        limit: Lines that wait at most.
+        stream: The stream to write to.
+        limit: Maximum number of buffered lines.
     """
 
     def __init__(self, stream: TextIO, limit: int = MAX_BUFFERED_LINES) -> None:
@@ -95,7 +95,7 @@
         self._thread.start()
 
     def add(self, name: str, level: int, line: str) -> None:
-        """Takes a line in, or counts it as left out."""
+        """Buffers a line of the event `name`, or counts it as dropped."""
         limit = self._limit if level >= logging.WARNING else self._limit // 2
         with self._lock:
             if len(self._lines) >= limit:
@@ -104,7 +104,7 @@
             self._lines.append(line)
 
     def take_dropped(self) -> dict[str, int]:
-        """Returns how many lines of each event were left out since."""
+        """Returns the lines dropped since the last call, by event."""
         with self._lock:
             dropped = dict(self._dropped)
             self._dropped.clear()
@@ -128,11 +128,11 @@
                 self._stream.write(text)
                 self._stream.flush()
             except (OSError, ValueError):
-                # Nobody reads any more; there is no other place to say so.
+                # The reader is gone, and there is no other place to report it.
                 self._is_closed = True
 
     def close(self) -> None:
-        """Writes what is left, if the reader takes it soon."""
+        """Writes the buffered lines, unless the reader is blocked for long."""
         self._is_closed = True
         self._wake.set()
         self._thread.join(timeout=CLOSE_TIMEOUT_SECONDS)
@@ -145,7 +145,7 @@
 
 
 class LineHandler(logging.Handler):
-    """Hands formatted records to a writer, within a rate for each event."""
+    """Passes formatted records to a writer, with a rate limit per event."""
 
     def __init__(self, writer: LineWriter) -> None:
         super().__init__()
@@ -156,7 +156,7 @@
         self.setFormatter(KeyValueFormatter())
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Takes a record; one above its event's rate is only counted."""
+        """Writes a record; one above its event's rate limit is only counted."""
         name = str(record.msg)
         second = int(clock.now())
         if second != self._second:
@@ -190,20 +190,23 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    # Libraries report each connection at INFO; that would drown our events.
+    # Libraries log each connection at INFO, which would hide other events.
     for noisy in ("urllib3", "websockets", "cheroot"):
         logging.getLogger(noisy).setLevel(logging.ERROR)
 
 
 def configure_logging(level: str, stream: TextIO = sys.stderr) -> None:
-    """Sends all of the process's logs to a stream as key=value lines."""
+    """Writes all logs of the process to a stream as key=value lines."""
     handler = logging.StreamHandler(stream)
     handler.setFormatter(KeyValueFormatter())
     _install(handler, level)
 
 
 def configure_bounded(level: str, stream: TextIO) -> LineWriter:
-    """Does the same through a bounded buffer that never blocks the caller."""
+    """Like `configure_logging`, with a bounded buffer that never blocks.
+
+    The caller closes the writer that is returned.
+    """
     writer = LineWriter(stream)
     _install(LineHandler(writer), level)
     return writer
--- a/src/wayslip/metrics.py
+++ b/src/wayslip/metrics.py
@@ -1,7 +1,7 @@
 """Metrics of a process: counters and latency histograms.
 
-Histograms are HDR histograms in microseconds; they are shown in the
-Prometheus text form as summaries. All methods may be called from any thread.
+Histograms are HDR histograms in microseconds, exported in the Prometheus text
+format as summaries. All methods may be called from any thread.
 """
 
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 
 
 class Latency:
-    """A histogram of durations, given and shown in seconds."""
+    """A histogram of durations, recorded and exported in seconds."""
 
     def __init__(self, name: str, help_text: str) -> None:
         self.name = name
@@ -31,21 +31,21 @@
         self._sum = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Counts one duration, clamped to the histogram's range."""
+        """Records one duration, clamped to the histogram's range."""
         us = min(max(int(seconds * _US_PER_SECOND), _LOWEST_US), _HIGHEST_US)
         with self._lock:
             self._histogram.record_value(us)
             self._sum += seconds
 
     def quantile(self, fraction: float) -> float:
-        """Returns the duration in seconds below which a fraction lies."""
+        """Returns a quantile in seconds; `fraction` is between 0 and 1."""
         with self._lock:
             us = self._histogram.get_value_at_percentile(fraction * 100)
         return us / _US_PER_SECOND
 
     @property
     def count(self) -> int:
-        """How many durations were counted."""
+        """Number of durations recorded."""
         with self._lock:
             return int(self._histogram.get_total_count())
 
@@ -71,7 +71,7 @@
         self._latencies: dict[str, Latency] = {}
 
     def count(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Adds to a counter; its label names are fixed by the first call."""
+        """Adds to a counter; the first call determines its label names."""
         with self._lock:
             counter = self._counters.get(name)
             if counter is None:
@@ -85,12 +85,12 @@
         (counter.labels(**labels) if labels else counter).inc(amount)
 
     def value(self, name: str, **labels: str) -> float:
-        """Returns a counter's value, 0 where nothing was counted."""
+        """Returns a counter's value, 0 if nothing was counted."""
         full = f"wayslip_{name}_total"
         return self._registry.get_sample_value(full, labels) or 0.0
 
     def latency(self, name: str) -> Latency:
-        """Returns the histogram of a name, made on first use."""
+        """Returns the histogram of a name, created on first use."""
         with self._lock:
             if name not in self._latencies:
                 self._latencies[name] = Latency(
@@ -106,5 +106,5 @@
             yield latency.collect()
 
     def render(self) -> bytes:
-        """Returns all metrics in the Prometheus text form."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self._registry)
--- a/src/wayslip/refusals.py
+++ b/src/wayslip/refusals.py
@@ -1,7 +1,7 @@
-"""Sentinel values that stand for an expected refusal, with its reason.
+"""Values that represent an expected refusal, with its reason.
 
-A pure function returns a `Refusal` in place of its result where the caller is
-meant to handle the case in its plain path. Exceptions stay for faults.
+A function returns a `Refusal` instead of its result where the caller should
+handle the case in its normal control flow. Exceptions are for faults.
 """
 
 import dataclasses
@@ -38,9 +38,9 @@
 
     Attributes:
         reason: The kind of refusal.
-        detail: One sentence for the reader, with the remedy.
-        retry_after: Seconds after which asking again makes sense; 0 when
-            asking again never helps.
+        detail: A message for the reader, with the remedy.
+        retry_after: Seconds after which a retry may succeed; 0 if a retry
+            never helps.
     """
 
     reason: Reason
--- a/src/wayslip/registry.py
+++ b/src/wayslip/registry.py
@@ -1,4 +1,4 @@
-"""Registries that decorators fill, for behaviour that settings choose."""
+"""Registries of implementations that are chosen by name."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -14,7 +14,7 @@
     """Named implementations of one role.
 
     Args:
-        role: What the entries do, for error messages ("routing policy").
+        role: What the entries are, for error messages ("routing policy").
     """
 
     def __init__(self, role: str) -> None:
@@ -22,7 +22,7 @@
         self._entries: dict[str, T] = {}
 
     def register(self, name: str) -> Callable[[T], T]:
-        """Returns a decorator that files its argument under a name."""
+        """Returns a decorator that registers its argument under a name."""
 
         def decorate(entry: T) -> T:
             if name in self._entries:
--- a/src/wayslip/report.py
+++ b/src/wayslip/report.py
@@ -1,4 +1,4 @@
-"""Sums up from instances' logs how requests ended and what they were lost to.
+"""Summarizes from instances' logs how requests ended.
 
 Requests are grouped by a field of their last line (route, organisation, model,
 endpoint, instance) or by the second in which they ended.
@@ -16,19 +16,20 @@
 
 _SERVED = "answered"
 _ENDED = "ended"
-# Groups in a table, those with the most lost requests first.
+# Groups shown in a table, those with the most lost requests first.
 MAX_ROWS = 30
 
 
 @dataclasses.dataclass(frozen=True)
 class Group:
-    """Requests that have something in common.
+    """Requests with the same value of the grouping field.
 
     Attributes:
-        key: What they have in common.
-        outcomes: How they ended, with their number.
-        first: Median seconds to the first part of an answer, None without any.
-        slow: The same that one in a hundred exceeds.
+        key: The value of the field.
+        outcomes: Number of requests by outcome.
+        first: Median seconds to the first part of an answer, None if there
+            are no answers.
+        slow: The 99th percentile of the same, None if there are no answers.
     """
 
     key: str
@@ -38,12 +39,12 @@
 
     @property
     def total(self) -> int:
-        """Number of its requests."""
+        """Number of requests."""
         return sum(self.outcomes.values())
 
     @property
     def lost(self) -> int:
-        """Number of its requests that were not answered."""
+        """Number of requests that were not answered."""
         return self.total - self.outcomes.get(_SERVED, 0)
 
 
@@ -59,21 +60,25 @@
 
 
 def summarize(lines: Iterable[str], field: str) -> list[Group]:
-    """Returns the groups of all requests whose end is told in some lines.
+    """Returns the requests that ended according to log lines, in groups.
+
+    Args:
+        lines: Log lines; other lines are ignored.
+        field: The field to group by, a key of `KEYS`.
 
     Raises:
-        BadRequestError: Nothing can be grouped by that field.
+        BadRequestError: Requests cannot be grouped by that field.
     """
     key = KEYS.get(field)
     if key is None:
         raise errors.BadRequestError(
-            f"requests can not be grouped by {field!r}",
+            f"requests cannot be grouped by {field!r}",
             f"give one of {', '.join(KEYS)}",
         )
     outcomes: dict[str, collections.Counter[str]] = {}
     firsts: dict[str, list[float]] = {}
     for line in lines:
-        # Most lines are of other events; parsing them takes the longest.
+        # Most lines are of other events, and parsing is the slowest step.
         if f"event={_ENDED}" not in line:
             continue
         event = story.parse_line(line)
@@ -107,7 +112,7 @@
 
 
 def format_groups(groups: Sequence[Group], field: str) -> str:
-    """Returns groups as a table for a reader."""
+    """Returns groups as a text table."""
     shown = groups if field == "second" else groups[:MAX_ROWS]
     lines = [f"{field:20} requests served  p50 s  p99 s  lost by outcome"]
     for group in shown:
@@ -122,7 +127,7 @@
             f" {_format(group.first)} {_format(group.slow)}  {lost}"
         )
     if len(groups) > len(shown):
-        lines.append(f"{len(groups) - len(shown)} groups more")
+        lines.append(f"{len(groups) - len(shown)} more groups")
     return "\n".join(lines)
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -50,7 +50,7 @@
         path.write_text(text)
         done = run("control", "--settings", str(path))
     assert done.returncode == 2
-    assert "address can not be used" in done.stderr
+    assert "address cannot be used" in done.stderr
     assert "Traceback" not in done.stderr
 
 
