--- a/src/wayslip/settings.py
+++ b/src/wayslip/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an instance, read from one TOML file and validated whole.
+"""Settings of an instance, read from a TOML file and validated as a whole.
 
 Both daemons of an instance read the same file. Times are in seconds and sizes
 in bytes unless a name says otherwise.
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Instance:
-    """Who this instance is; told by the platform's provisioning."""
+    """The identity of this instance, set by the platform's provisioning."""
 
     __pydantic_config__ = _STRICT
     name: Name
@@ -53,9 +53,9 @@
     """The addresses one daemon listens on.
 
     Attributes:
-        operators: Health, metrics, state and, at a control, operators' calls.
-        peers: Calls from peers (TCP) and membership (UDP), the same port.
-        callers: Callers' HTTP; used by an entry only.
+        operators: Health, metrics, state and, for a control, operators' calls.
+        peers: Calls from peers (TCP) and membership (UDP), on the same port.
+        callers: HTTP for callers; used only by an entry.
     """
 
     __pydantic_config__ = _STRICT
@@ -77,12 +77,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Security:
-    """Keys shared by all instances, and TLS for the callers' port.
+    """Keys that all instances share, and TLS for the callers' port.
 
     Attributes:
         peer_key: Authenticates frames between peers.
         resume_key: Signs resume ids of streams.
-        certificate: Path of the PEM chain; empty for plain HTTP.
+        certificate: Path of the PEM certificate chain; empty for plain HTTP.
         private_key: Path of the PEM key; empty for plain HTTP.
     """
 
@@ -99,7 +99,7 @@
 
     Attributes:
         priority: The class of its requests, a key of `Admission.classes`.
-        max_in_flight: Requests at once over all entries.
+        max_in_flight: Maximum concurrent requests over all entries.
     """
 
     __pydantic_config__ = _STRICT
@@ -111,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Operator:
-    """An operator and the key that operator's commands carry."""
+    """An operator and the key that authenticates the operator's commands."""
 
     __pydantic_config__ = _STRICT
     name: Name
@@ -124,9 +124,9 @@
 
     Attributes:
         rank: Lower ranks are admitted first.
-        target: Seconds to the first token that count as attained.
-        deadline: Seconds after which nobody waits for the answer.
-        share: Fraction of an endpoint's slots the class may fill.
+        target: Seconds to the first token within which the target is met.
+        deadline: Seconds after which the caller no longer waits for the answer.
+        share: Fraction of an endpoint's slots that the class may use.
     """
 
     __pydantic_config__ = _STRICT
@@ -146,10 +146,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Admission:
-    """Which requests start and which are refused.
+    """Which requests are admitted and which are refused.
 
     Attributes:
-        policy: A registered admission policy.
+        policy: Name of a registered admission policy.
         retry_fraction: Retries allowed for each first attempt.
     """
 
@@ -169,7 +169,7 @@
     """How an endpoint is chosen.
 
     Attributes:
-        policy: A registered routing policy.
+        policy: Name of a registered routing policy.
         poll_seconds: Seconds between load reports from one endpoint.
     """
 
@@ -180,12 +180,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Limits:
-    """Bounds on what one caller or peer can make a process hold.
+    """Bounds on the resources that a caller or peer can occupy.
 
     Attributes:
-        resume_seconds: Wait after a caller hung up before its stream is
-            cancelled at the engine, so that it can be resumed elsewhere.
-        keyed_in_flight: Requests at once that carry an Idempotency-Key.
+        resume_seconds: Wait after a caller has disconnected before its stream
+            is cancelled at the engine, so that it can be resumed at another
+            entry.
+        keyed_in_flight: Maximum concurrent requests with an Idempotency-Key.
     """
 
     __pydantic_config__ = _STRICT
@@ -207,12 +208,13 @@
     """The journal of requests that may not be repeated.
 
     Attributes:
-        slots: Journal objects the keys are spread over; the same everywhere.
+        slots: Journal objects over which keys are distributed; must be the same
+            at all instances.
         retention: Seconds for which a key's result is kept.
         answer_bytes: Largest answer that is kept for a retry.
         segment_bytes: Size at which kept answers are dropped, oldest first.
-        issued_seconds: Time for which an issued key can be used.
-        issued_limit: Issued keys that are out at once.
+        issued_seconds: Seconds for which an issued key can be used.
+        issued_limit: Maximum number of issued keys at once.
     """
 
     __pydantic_config__ = _STRICT
@@ -231,8 +233,9 @@
     Attributes:
         seeds: Peer addresses to join through.
         period: Seconds between probes of one random peer.
-        suspicion: Seconds a suspect has to refute before it is dead.
-        fanout: Peers that hear a fresh fact from each that holds it.
+        suspicion: Seconds in which a suspect can refute before it is dead.
+        fanout: Peers to which a daemon sends a new fact at once.
+        watchers: Controls that watch the configuration object.
     """
 
     __pydantic_config__ = _STRICT
@@ -248,10 +251,11 @@
     """How models are placed.
 
     Attributes:
-        load_rate: Loads a second that the weight store allows.
-        load_slots: Loads at once at full speed.
-        quarantine: Seconds for which a dead sender's order may still arrive
-            at an endpoint without a fence check.
+        load_rate: Loads per second that the weight store allows.
+        load_slots: Concurrent loads at full speed.
+        quarantine: Seconds for which the order of a crashed sender may still
+            arrive at an endpoint that does not check fences.
+        period: Seconds between passes over the engines.
     """
 
     __pydantic_config__ = _STRICT
@@ -266,7 +270,7 @@
     """The planned stop.
 
     Attributes:
-        balancer_seconds: Wait between failing readiness and refusing work.
+        balancer_seconds: Wait between failing readiness and refusing requests.
         finish_seconds: Longest wait for requests in progress.
     """
 
@@ -310,7 +314,7 @@
         source: The file's name, for messages.
 
     Raises:
-        SettingsError: A key is unknown or missing or a value is impossible.
+        SettingsError: A key is unknown or missing, or a value is invalid.
     """
     try:
         parsed = _ADAPTER.validate_python(values)
@@ -339,7 +343,7 @@
             raise errors.SettingsError(
                 f"{source}: callers.{caller.name}.priority:"
                 f" there is no class {caller.priority!r}",
-                f"add [admission.classes.{caller.priority}] or name another",
+                f"add [admission.classes.{caller.priority}] or use another",
             )
     security = settings.security
     if bool(security.certificate) != bool(security.private_key):
@@ -353,18 +357,18 @@
     """Reads and validates a settings file.
 
     Raises:
-        SettingsError: The file can not be read, parsed or used.
+        SettingsError: The file cannot be read or parsed, or is invalid.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
     except OSError as e:
         raise errors.SettingsError(
-            f"{path}: {e.strerror}", "name a readable settings file"
+            f"{path}: {e.strerror}", "give a readable settings file"
         ) from e
     try:
         values = tomllib.loads(text)
     except tomllib.TOMLDecodeError as e:
         raise errors.SettingsError(
-            f"{path}: {e}", "correct the TOML at that place"
+            f"{path}: {e}", "correct the TOML syntax there"
         ) from e
     return parse_settings(values, path)
--- a/src/wayslip/story.py
+++ b/src/wayslip/story.py
@@ -1,7 +1,7 @@
-"""Puts together what happened to one request from the instances' logs.
+"""Reconstructs from the instances' logs what happened to one request.
 
-Lines are key=value pairs as `wayslip.logs` writes them; whatever stands before
-the first pair (a collector's time and the instance) is kept as the source.
+Lines are key=value pairs as `wayslip.logs` writes them. The text before the
+first pair (a log collector's time and the instance) is kept as the source.
 """
 
 from collections.abc import Iterable
@@ -10,8 +10,8 @@
 import re
 
 _PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|\S*)')
-# Context is looked for so long before a request's end and after it, seconds:
-# a load from the weight store takes nine.
+# Context is collected from this time before a request's first event to this
+# time after its last one: a load from the weight store takes nine seconds.
 BEFORE_SECONDS = 12.0
 AFTER_SECONDS = 0.5
 
@@ -36,7 +36,7 @@
         "endpoint_ended",
     )
 )
-# Digits of a digest in a list of several.
+# Digits of each digest in a list of digests.
 _SHORT_DIGEST = 8
 _CONTEXT_OF_INSTANCE = frozenset(
     (
@@ -54,47 +54,49 @@
 )
 
 MEANINGS = {
-    "answered": "the endpoint's answer was passed on",
-    "not_loaded": "no endpoint held its model or adapter; it was not run",
+    "answered": "the endpoint's answer was forwarded",
+    "not_loaded": "no endpoint had its model or adapter; it was not run",
     "endpoints_rest": (
-        "all endpoints that could serve it had asked for rest; it was not run"
+        "all endpoints that could serve it were backing off; it was not run"
     ),
     "no_endpoint": "no endpoint of its service is listed; it was not run",
-    "not_taken": "the endpoint turned it away; it was not run",
-    "too_long_a_wait": "its wait would have used up its time; it was not run",
-    "timed_out_waiting": "its time ended before it was sent; it was not run",
-    "no_configuration": "this instance knew no configuration; it was not run",
-    "no_route": "no route has its host and path",
+    "not_taken": "the endpoint refused it; it was not run",
+    "too_long_a_wait": "its wait would exceed its time limit; it was not run",
+    "timed_out_waiting": "it timed out before it was sent; it was not run",
+    "no_configuration": "the instance had no configuration; it was not run",
+    "no_route": "no route matches its host and path",
     "old_configuration": (
-        "its route or key is not known here, but a newer configuration may"
-        " have it; it was not run"
+        "the instance does not know its route or key, but a newer"
+        " configuration may; it was not run"
     ),
-    "unknown_key": "its key is in no configuration; it was not run",
+    "unknown_key": "its key is not in the configuration; it was not run",
     "unconfirmed": (
-        "nobody has confirmed the configuration here as the newest for so long"
-        " that its key may have been taken away; it was not run"
+        "the instance's configuration has not been confirmed as the newest for"
+        " so long that its key may have been revoked; it was not run"
     ),
-    "over_quota": "its organisation has used up its quota; it was not run",
+    "over_quota": "its organisation has exceeded its quota; it was not run",
     "ends_endpoints": (
-        "endpoints ended under the same request before; it was not run"
+        "endpoints crashed under the same request before; it was not run"
     ),
-    "unclear": "the endpoint broke off; it may have run",
-    "endpoint_failed": "the endpoint failed and its failure was passed on",
-    "broken_off": "its stream broke off and may not go on elsewhere",
-    "timed_out": "its route's time-out or deadline passed at the endpoint",
-    "stream_timed_out": "its stream was not whole at the time-out",
+    "unclear": "the exchange with the endpoint broke off; it may have run",
+    "endpoint_failed": "the endpoint failed; its failure was forwarded",
+    "broken_off": "its stream was interrupted and cannot be resumed",
+    "timed_out": "its route's time-out or deadline passed after it was sent",
+    "stream_timed_out": "its stream was not complete at the time-out",
     "client_left": "the client closed its connection",
 }
 
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """One line of a log.
+    """An event of a log line.
 
     Attributes:
-        source: What stands before the pairs, such as the instance.
-        at: Seconds of the instance's clock.
-        fields: All pairs but time, level, logger and event.
+        source: The text before the pairs, such as the instance.
+        at: Time of the event in seconds, by the instance's clock.
+        name: Name of the event.
+        fields: All pairs except time, level, logger and event.
+        line: The log line.
     """
 
     source: str
@@ -106,12 +108,13 @@
 
 @dataclasses.dataclass(frozen=True)
 class Story:
-    """What the logs say of a request.
+    """What the logs show about a request.
 
     Attributes:
-        events: Its own events, in order.
-        context: What else touched its model, endpoints or instance.
-        outcome: How it ended, empty if no line says so.
+        request: The request id.
+        events: Events of the request, in order of time.
+        context: Other events that affected its model, endpoints or instance.
+        outcome: The outcome, empty if the logs do not show it.
     """
 
     request: str
@@ -121,7 +124,7 @@
 
 
 def parse_line(line: str) -> Event | None:
-    """Returns the event of a line, None if it is no line of ours."""
+    """Returns the event of a line, None if the line is not an event."""
     pairs = _PAIR.findall(line)
     values = {name: _unquote(value) for name, value in pairs}
     if "event" not in values or "time" not in values:
@@ -145,7 +148,7 @@
 
 
 def build_story(request: str, lines: Iterable[str]) -> Story | None:
-    """Returns the story of a request, None if no line names it."""
+    """Returns what log lines show about a request, None if nothing."""
     events = [e for e in map(parse_line, lines) if e is not None]
     own = sorted(
         (e for e in events if e.fields.get("request") == request),
@@ -172,7 +175,7 @@
         if "request" in event.fields:
             continue
         if _concerns_content(event, contents):
-            # What it is suspected for may be long past.
+            # The crashes that made it a suspect may be long past.
             found.append(event)
             continue
         if not first <= event.at <= last:
@@ -203,7 +206,7 @@
 
 
 def _concerns_content(event: Event, contents: set[str]) -> bool:
-    """Whether an event tells of what was on its way as endpoints ended."""
+    """Whether an event concerns the suspicion of one of the contents."""
     if event.name not in _CONTEXT_OF_CONTENT:
         return False
     if event.fields.get("content") in contents:
@@ -213,7 +216,7 @@
 
 
 def _instance(event: Event) -> str:
-    """Returns the last word before the pairs, a collector's instance name."""
+    """Returns the instance, the last word that a collector adds."""
     return event.source.split()[-1] if event.source else ""
 
 
@@ -227,7 +230,7 @@
 
 
 def find_decision(story: Story) -> Event:
-    """Returns the event that decided how a request ended."""
+    """Returns the event that determined a request's outcome."""
     decisive = ("attempt_unclear", "endpoint_refused", "attempt_failed")
     for name in decisive:
         for event in reversed(story.events):
@@ -237,7 +240,10 @@
 
 
 def format_story(story: Story) -> str:
-    """Returns a story as text for a reader."""
+    """Returns a story as text.
+
+    The request's own events are marked ">", the decisive event "*".
+    """
     merged = sorted((*story.events, *story.context), key=lambda e: e.at)
     own = set(map(id, story.events))
     decision = find_decision(story)
@@ -250,6 +256,6 @@
         lines.append(
             f"{mark} {event.at - start:+8.3f}{where} {event.name} {pairs}"
         )
-    meaning = MEANINGS.get(story.outcome, "no line tells how it ended")
+    meaning = MEANINGS.get(story.outcome, "the logs do not show how it ended")
     lines.append(f"outcome: {story.outcome or 'unknown'}: {meaning}")
     return "\n".join(lines)
--- a/src/wayslip/web.py
+++ b/src/wayslip/web.py
@@ -1,7 +1,7 @@
-"""HTTP serving on cheroot: requests in, answers out, with bounds.
+"""HTTP server on top of cheroot, with limits.
 
-A program gives a function from `Request` to `Answer`. The function may also
-take the connection over for a stream, see `Request.detach`.
+An application is a function from `Request` to `Answer`. It may instead take
+over the connection for a stream; see `Request.detach`.
 """
 
 from collections.abc import Callable
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """A whole answer."""
+    """A complete answer."""
 
     status: int
     body: bytes
@@ -46,14 +46,20 @@
 
 
 def answer_json(status: int, value: Any, **headers: str) -> Answer:
-    """Returns an answer with a JSON body."""
+    """Returns an answer with a JSON body.
+
+    Args:
+        status: The HTTP status.
+        value: The body, before it is encoded.
+        **headers: Headers, with "_" in place of "-" in their names.
+    """
     names = {name.replace("_", "-"): text for name, text in headers.items()}
     data = json.dumps(value, default=str).encode() + b"\n"
     return Answer(status, data, headers=names)
 
 
 class Request:
-    """A request whose head has been read."""
+    """A request whose header has been read."""
 
     def __init__(self, raw: Any, body_limit: int) -> None:
         self._raw = raw
@@ -66,7 +72,7 @@
         self.is_detached = False
 
     def header(self, name: str, default: str = "") -> str:
-        """Returns a header's value."""
+        """Returns a header's value, or the default if it is absent."""
         value = self._raw.inheaders.get(name.title().encode("ascii"))
         return default if value is None else value.decode("latin-1")
 
@@ -74,7 +80,7 @@
         """Returns the body.
 
         Raises:
-            BadRequestError: It is longer than the limit, or was cut.
+            BadRequestError: It exceeds the limit or is truncated.
         """
         length = self.header("Content-Length", "0")
         if not length.isdecimal() or int(length) > self._limit:
@@ -92,7 +98,7 @@
                 )
         if len(data) < int(length):
             raise errors.BadRequestError(
-                "the body ended early", "send Content-Length bytes"
+                "the body is truncated", "send Content-Length bytes"
             )
         return data
 
@@ -100,22 +106,22 @@
         """Returns the body as a JSON object.
 
         Raises:
-            BadRequestError: It is none.
+            BadRequestError: It is too long, truncated or not a JSON object.
         """
         try:
             value = json.loads(self.read())
         except ValueError as e:
             raise errors.BadRequestError(
-                f"the body is no JSON: {e}", "send a JSON object"
+                f"the body is not JSON: {e}", "send a JSON object"
             ) from e
         if not isinstance(value, dict):
             raise errors.BadRequestError(
-                "the body is no JSON object", "send a JSON object"
+                "the body is not a JSON object", "send a JSON object"
             )
         return value
 
     def send(self, answer: Answer) -> None:
-        """Sends a whole answer."""
+        """Sends a complete answer."""
         raw = self._raw
         raw.status = _status_line(answer.status)
         raw.outheaders = [
@@ -128,10 +134,10 @@
             raw.write(answer.body)
 
     def detach(self, headers: Mapping[str, str]) -> tuple[socket.socket, Any]:
-        """Sends the head of a chunked answer and gives the connection away.
+        """Sends the header of a chunked answer and hands over the connection.
 
-        The server's worker is free for the next request at once. Whoever
-        takes the socket writes the chunks and closes it.
+        The server's worker is free for the next request at once. The caller
+        writes the chunks to the socket and closes it.
 
         Returns:
             The socket, non-blocking, and an object that keeps it open.
@@ -139,13 +145,13 @@
         raw = self._raw
         raw.status = _status_line(200)
         raw.outheaders = _encode_headers(headers)
-        # The connection ends with the stream, and the server must not close
-        # the socket when its worker returns: cheroot lingers then.
+        # The connection is closed after the stream. With `linger`, cheroot does
+        # not close the socket when its worker returns.
         raw.close_connection = True
         raw.conn.linger = True
         raw.ensure_headers_sent()
         raw.conn.wfile.flush()
-        # Else cheroot would write the closing chunk when we return.
+        # Otherwise cheroot would write the last chunk after the return.
         raw.chunked_write = False
         self.is_detached = True
         raw.conn.socket.setblocking(False)
@@ -173,8 +179,8 @@
 class _ReadDeadlines:
     """Closes connections whose request takes too long to arrive.
 
-    A socket time-out starts anew with every byte, so a caller that sends a
-    byte now and then could hold a worker for ever.
+    A socket time-out restarts with every byte, so a caller that sends single
+    bytes within the time-out could occupy a worker without limit.
     """
 
     def __init__(self, seconds: float) -> None:
@@ -205,7 +211,7 @@
 
 
 class _Request(cheroot_server.HTTPRequest):
-    """Adds the outcome to the answers that cheroot makes by itself."""
+    """Adds the outcome to the answers that cheroot itself creates."""
 
     def parse_request(self) -> None:
         deadlines: _ReadDeadlines = self.server.read_deadlines
@@ -218,7 +224,7 @@
         text = json.dumps(
             {"error": {"message": msg or status, "type": "invalid_request"}}
         ).encode()
-        # After a fault of ours nobody knows how far the request came.
+        # After a server error it is unknown whether the request ran.
         outcome = UNKNOWN if str(status).startswith("5") else NOT_RUN
         proto = self.server.protocol.encode("ascii")
         lines = [
@@ -259,7 +265,7 @@
         security: settings_module.Security | None = None,
     ) -> None:
         class Gateway(cheroot_server.Gateway):
-            """Hands cheroot's requests to the application."""
+            """Passes cheroot's requests to the application."""
 
             def respond(self) -> None:
                 _respond(self.req, application, limits)
@@ -293,10 +299,10 @@
         return f"{host}:{port}"
 
     def start(self) -> None:
-        """Listens, and serves in threads.
+        """Starts to listen and to serve in threads.
 
         Raises:
-            OSError: The address can not be used.
+            OSError: The address cannot be used.
         """
         self._server.prepare()
         self._thread.start()
--- a/tests/control/test_ctl.py
+++ b/tests/control/test_ctl.py
@@ -1,4 +1,4 @@
-"""wayslipctl against a running system, as an operator uses it."""
+"""wayslipctl against a running system."""
 
 import json
 
@@ -14,7 +14,7 @@
     return done.stdout if code == 0 else done.stderr
 
 
-def test_an_operators_session(system, tmp_path):
+def test_commands_of_an_operators_session(system, tmp_path):
     path = tmp_path / "grow.toml"
     path.write_text(system_module.grow_intent("ctl"))
     plan = json.loads(ctl(system, "--json", "apply", str(path)))["id"]
@@ -35,7 +35,7 @@
     assert "no table" in ctl(system, "apply", str(path), code=2)
 
 
-def test_drain_ends_an_instance():
+def test_drain_stops_an_instance():
     with system_module.System(instances=2, engines=1) as fleet:
         system_module.wait_until(
             lambda: (
@@ -48,6 +48,6 @@
         assert fleet.entries[1].stopping.is_set()
         assert fleet.controls[1].stopping.is_set()
         assert not fleet.entries[1].is_ready()
-        # In a process of its own the main thread would go on to stop.
+        # In a separate process, the main thread would call `stop`.
         fleet.entries[1].stop()
         fleet.controls[1].stop()
--- a/tests/control/test_examples.py
+++ b/tests/control/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples of both first users can be planned at the brief's sizes."""
+"""Plans can be made for the examples, with engines of 80 GB."""
 
 import pathlib
 
--- a/tests/control/test_executor.py
+++ b/tests/control/test_executor.py
@@ -1,4 +1,4 @@
-"""The executor's word on its own attempts survives lost answers."""
+"""The executor settles its own attempts although answers are lost."""
 
 import pytest
 
@@ -14,7 +14,7 @@
         fleet.apply()
         intent = system_module.grow_intent("k", 5, 3)
         plan = fleet.operate("POST", "/v1/plans", intent.encode()).json["id"]
-        # Every write takes effect and no answer comes.
+        # Every write takes effect, but its answer is lost.
         fleet.objects.faults.lose = 1.0
         path = f"/v1/plans/{plan}/confirm"
         while fleet.operate("POST", path).status != 200:
@@ -24,8 +24,8 @@
             "an attempt is written",
         )
         fleet.objects.faults.lose = 0.0
-        # Nobody else may settle these at an engine without fences: the
-        # quarantine is an hour and the sender lives.
+        # Only the sender can settle the attempts: without fence checks they
+        # are not given up while it is a member, and the quarantine is an hour.
         system_module.wait_until(
             lambda: not any(x.attempts for x in fleet.ledgers().values()),
             "no attempt is open",
--- a/tests/control/test_operators.py
+++ b/tests/control/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' calls: plans, races, keys, and what stays secret."""
+"""Operators' calls: plans, concurrent confirmations, keys and secrets."""
 
 import json
 import threading
@@ -11,7 +11,7 @@
 
 
 def no_plan_in_progress(system):
-    """Whether no confirmed plan is still being carried out."""
+    """Whether no confirmed plan is still being executed."""
     plans = system.operate("GET", "/v1/plans").json["plans"]
     return all(
         p["state"] != "confirmed"
@@ -21,7 +21,7 @@
 
 
 def propose(system, name, size=5, n=0):
-    # A load under way changes an engine, and with it the plan's world.
+    # A load in progress would change the state that the plan is based on.
     system_module.wait_until(
         lambda: no_plan_in_progress(system), "no plan runs"
     )
@@ -31,7 +31,7 @@
     return reply.json
 
 
-def test_plan_shows_steps_and_cost_and_changes_nothing(system):
+def test_proposed_plan_shows_steps_and_cost_and_changes_nothing(system):
     generation = system.operate("GET", "/v1/status").json["generation"]
     plan = propose(system, "shown")
     assert plan["state"] == "proposed"
@@ -42,13 +42,13 @@
     assert status["generation"] == generation
 
 
-def test_file_that_is_in_force_already_changes_nothing(system):
+def test_file_that_is_already_in_force_changes_nothing(system):
     reply = system.operate("POST", "/v1/plans", system_module.INTENT.encode())
     assert reply.json["effects"] == []
     assert reply.json["steps"] == []
 
 
-def test_two_operators_at_once_exactly_one_wins(system):
+def test_only_one_of_two_concurrent_confirmations_succeeds(system):
     plan = propose(system, "raced")["id"]
     replies = {}
 
@@ -69,7 +69,7 @@
     assert "confirmed by" in loser.json["reason"]
 
 
-def test_plan_against_a_changed_world_is_refused_and_says_what(system):
+def test_plan_whose_basis_changed_is_refused_and_names_the_change(system):
     first = propose(system, "twice", 5)
     second = propose(system, "twice", 6)
     path = "/v1/plans/{}/confirm"
@@ -79,7 +79,7 @@
     assert "model twice" in refused.json["reason"]
 
 
-def test_confirm_again_after_a_lost_answer_is_no_second_change(system):
+def test_repeated_confirmation_does_not_apply_a_plan_again(system):
     plan = propose(system, "again")["id"]
     path = f"/v1/plans/{plan}/confirm"
     first = system.operate("POST", path)
@@ -87,7 +87,7 @@
     assert first.json["generation"] == second.json["generation"] > 0
 
 
-def test_store_that_loses_answers_applies_a_plan_once(system):
+def test_plan_is_applied_once_although_answers_are_lost(system):
     system.objects.faults.lose = 0.6
     try:
         generation = system.operate("GET", "/v1/status").json["generation"]
@@ -105,7 +105,7 @@
     assert status["generation"] == generation + 1
 
 
-def test_cancelled_plan_can_not_be_confirmed(system):
+def test_cancelled_plan_cannot_be_confirmed(system):
     plan = propose(system, "dropped")["id"]
     assert system.operate("POST", f"/v1/plans/{plan}/cancel").status == 200
     refused = system.operate("POST", f"/v1/plans/{plan}/confirm")
@@ -128,7 +128,7 @@
         ('[[delete]]\nkind = "model"\nname = "none"', "no model none"),
     ],
 )
-def test_bad_intents_get_a_clear_error(system, text, word):
+def test_invalid_intents_are_refused_with_the_reason(system, text, word):
     reply = system.operate("POST", "/v1/plans", text.encode())
     assert reply.status == 400
     assert word in reply.json["reason"]
@@ -155,7 +155,7 @@
         assert secret not in text
 
 
-def test_dump_of_an_unknown_instance_says_so(system):
+def test_dump_of_an_unknown_instance_is_refused(system):
     reply = system.operate("GET", "/v1/instances/none/dump")
     assert reply.status == 404
 
--- a/tests/peers/test_frames.py
+++ b/tests/peers/test_frames.py
@@ -11,7 +11,7 @@
 PULL = messages.Pull(7)
 
 
-def test_datagram_comes_back():
+def test_datagram_round_trip():
     data = frames.seal_datagram(KEY, PULL, 100.0)
     assert frames.open_datagram(KEY, data, 101.0) == PULL
 
@@ -23,15 +23,15 @@
 
 
 @hypothesis.given(st.binary(max_size=300))
-def test_garbage_is_refused(data):
+def test_random_bytes_are_refused(data):
     with pytest.raises(errors.FrameError):
         frames.open_datagram(KEY, data, 100.0)
 
 
 @hypothesis.given(st.integers(0, 10_000), st.integers(1, 255))
-def test_changed_datagram_is_refused(place, flip):
+def test_changed_datagram_is_refused(position, flip):
     data = bytearray(frames.seal_datagram(KEY, PULL, 100.0))
-    data[place % len(data)] ^= flip
+    data[position % len(data)] ^= flip
     with pytest.raises(errors.FrameError):
         frames.open_datagram(KEY, bytes(data), 100.0)
 
@@ -47,7 +47,7 @@
 
 
 @hypothesis.given(PLAIN)
-def test_authentic_frame_that_is_no_message_is_refused(value):
+def test_authentic_frame_without_a_message_is_refused(value):
     data = cbor2.dumps(value)
     frame = frames._sign(KEY, data) + data
     with pytest.raises(errors.FrameError):
@@ -55,14 +55,14 @@
 
 
 @hypothesis.given(PLAIN)
-def test_authentic_pair_that_is_no_message_is_refused(value):
+def test_authentic_pair_without_a_message_is_refused(value):
     data = cbor2.dumps([100.0, value])
     frame = frames._sign(KEY, data) + data
     with pytest.raises(errors.FrameError):
         frames.open_datagram(KEY, frame, 100.0)
 
 
-def test_frame_of_a_connection_can_not_be_played_again():
+def test_frame_of_a_connection_cannot_be_replayed():
     there, _ = frames.make_sessions(KEY, b"c" * 16, b"s" * 16)
     here, _ = frames.make_sessions(KEY, b"c" * 16, b"s" * 16)
     first = there.seal(PULL)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The programs as an operator meets them: exit codes and messages."""
+"""Exit codes and messages of the command-line programs."""
 
 import os
 import pathlib
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize("module", ["entry", "control"])
-def test_bad_settings_are_one_line_and_exit_2(module, tmp_path):
+def test_invalid_settings_print_one_line_and_exit_with_2(module, tmp_path):
     path = tmp_path / "bad.toml"
     path.write_text('log_level = "loud"')
     done = run(module, "--settings", str(path))
@@ -39,7 +39,7 @@
     assert done.stderr.count("\n") == 1
 
 
-def test_taken_address_is_one_line_and_exit_2(tmp_path):
+def test_address_in_use_prints_one_line_and_exits_with_2(tmp_path):
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
@@ -60,7 +60,7 @@
     assert "Exit codes" in done.stdout
 
 
-def test_missing_key_and_file_and_control_have_their_exit_codes():
+def test_missing_key_file_or_control_sets_the_exit_code():
     assert run("ctl", "status", WAYSLIP_KEY="").returncode == 2
     assert run("ctl", "apply", "/none", WAYSLIP_KEY="k").returncode == 2
     lost = run("ctl", "--url=http://127.0.0.1:1", "status", WAYSLIP_KEY="k")
@@ -68,8 +68,9 @@
     assert "asking again is safe" in lost.stderr
 
 
-def test_gateway_ignores_hangups_before_it_loads_its_libraries():
-    # A soak's SIGHUP ended gateways that had just been started (seed 102).
+def test_gateway_ignores_hangups_before_it_imports_libraries():
+    # SIGHUP terminated gateways that were still importing their libraries
+    # and had not installed a handler.
     done = subprocess.run(
         [
             sys.executable,
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -30,7 +30,7 @@
 
 
 class BlockedStream:
-    """A reader that takes nothing until it is let go."""
+    """A stream whose writes block until `unblock` is set."""
 
     def __init__(self):
         self.unblock = threading.Event()
@@ -49,7 +49,7 @@
         logs.event(logger, f"event-{number % 50}", level, number=number)
 
 
-def test_reader_that_stops_never_blocks_and_is_told_what_is_missing():
+def test_blocked_reader_never_blocks_logging_and_drops_are_counted():
     stream = BlockedStream()
     writer = logs.LineWriter(stream, limit=100)
     logger = logging.Logger("test")
@@ -58,7 +58,7 @@
     fill(logger, logging.WARNING, 30)
     stream.unblock.set()
     writer.close()
-    # All warnings are there, only some of the rest, and the rest is counted.
+    # All warnings are written, and dropped INFO lines are counted.
     assert stream.text.count("level=warning") == 30
     assert stream.text.count("level=info") < 1000
     assert "event=lines_left_out of=event-1 count=" in stream.text
--- a/tests/test_report.py
+++ b/tests/test_report.py
@@ -14,27 +14,27 @@
     "i2 time=12.0 level=warning event=ended request=r4 outcome=over_quota"
     ' route=b organisation=shop first_after=""',
     "i2 time=12.0 level=info event=chosen request=r5 route=b",
-    "no line of ours",
+    "a line of another program",
 ]
 
 
-def test_requests_are_grouped_and_the_most_lost_come_first():
+def test_groups_with_the_most_lost_requests_come_first():
     shop, bank = report.summarize(LINES, "organisation")
     assert (shop.key, shop.total, shop.lost) == ("shop", 3, 2)
     assert shop.outcomes == {"answered": 1, "not_loaded": 1, "over_quota": 1}
     assert (bank.key, bank.lost, bank.first) == ("bank", 0, 0.3)
 
 
-def test_seconds_come_in_order():
+def test_groups_by_second_are_in_order_of_time():
     keys = [group.key for group in report.summarize(LINES, "second")]
     assert keys == ["10", "12"]
 
 
-def test_instance_is_what_stands_before_the_line():
+def test_instance_is_the_word_before_the_pairs():
     assert [g.key for g in report.summarize(LINES, "instance")] == ["i2", "i1"]
 
 
-def test_field_that_is_not_known_is_named_with_those_that_are():
+def test_error_for_an_unknown_field_lists_the_known_fields():
     with pytest.raises(errors.BadRequestError, match="give one of route"):
         report.summarize(LINES, "colour")
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -33,7 +33,7 @@
         (lambda v: v.update(peers={"period": -1}), "peers.period"),
     ],
 )
-def test_bad_settings_name_file_key_and_remedy(change, key):
+def test_error_for_invalid_settings_names_file_key_and_remedy(change, key):
     with pytest.raises(errors.SettingsError) as caught:
         parse(change)
     text = str(caught.value)
--- a/tests/test_story.py
+++ b/tests/test_story.py
@@ -20,7 +20,7 @@
     ),
     line("i-3", 101.000, "store_lost", kind="config"),
     line("i-1", 101.020, "store_lost", reason='"a \\"b\\""'),
-    "some line that is not ours",
+    "some line of another program",
 ]
 LOG = "\n".join(LINES)
 
@@ -29,10 +29,10 @@
     event = story.parse_line(LINES[7])
     assert event.source.split()[-1] == "i-1"
     assert event.fields["reason"] == 'a "b"'
-    assert story.parse_line("some line that is not ours") is None
+    assert story.parse_line("some line of another program") is None
 
 
-def test_story_has_own_events_and_what_touched_them():
+def test_story_has_own_events_and_related_context():
     found = story.build_story("r1", LINES)
     assert [e.name for e in found.events] == [
         "chosen",
@@ -40,7 +40,7 @@
         "ended",
     ]
     assert found.outcome == "not_taken"
-    # The eviction of its model and the outage of its own instance, no other.
+    # Only the eviction of its model and the store outage of its instance.
     assert [(e.name, e.fields.get("model")) for e in found.context] == [
         ("load_planned", "m3"),
         ("store_lost", None),
@@ -48,10 +48,10 @@
     assert story.find_decision(found).name == "endpoint_refused"
 
 
-def test_story_says_in_words_how_it_ended():
+def test_formatted_story_explains_the_outcome():
     text = story.format_story(story.build_story("r1", LINES))
     assert "* " in text and "endpoint_refused" in text
-    assert text.endswith("the endpoint turned it away; it was not run")
+    assert text.endswith("the endpoint refused it; it was not run")
 
 
 def test_unknown_request_has_no_story():
@@ -69,7 +69,7 @@
     assert "give the logs of all instances" in done.stderr
 
 
-def test_story_of_a_refused_request_tells_under_which_ends():
+def test_story_of_a_blocked_request_shows_the_crashes():
     content = "215695fbc3d99a42a0432ba76ef8b10c"
     lines = [
         line("i-2", 10.0, "endpoint_ended", endpoint="e1", contents="215695fb"),
@@ -89,4 +89,6 @@
         "endpoint_ended",
         "content_condemned",
     ]
-    assert "endpoints ended under the same request" in story.format_story(found)
+    assert "endpoints crashed under the same request" in story.format_story(
+        found
+    )
