--- a/src/wayslip/cli/ctl.py
+++ b/src/wayslip/cli/ctl.py
@@ -74,7 +74,7 @@
 EXIT_USAGE = 2
 EXIT_REFUSED = 3
 EXIT_UNREACHABLE = 4
-EXIT_WAITED = 5
+EXIT_TIMED_OUT = 5
 
 _EXIT_BY_STATUS = {
     400: EXIT_USAGE,
@@ -175,7 +175,7 @@
     if reply.exit_code:
         return reply.exit_code
     unfinished = options["confirm"] and wait and not _is_done(reply.value)
-    return EXIT_WAITED if unfinished else 0
+    return EXIT_TIMED_OUT if unfinished else 0
 
 
 def _explain(options: Any) -> int:
--- a/src/wayslip/peers/node.py
+++ b/src/wayslip/peers/node.py
@@ -28,7 +28,7 @@
 from wayslip.peers import messages
 
 _LOG = logging.getLogger(__name__)
-_DATAGRAM_BYTES = 8_192
+_MAX_DATAGRAM_BYTES = 8_192
 _FACTS_PER_DATAGRAM = 8
 _TICKS_PER_PERIOD = 5
 _JOIN_SECONDS = 5.0
@@ -211,7 +211,7 @@
 
     def _receive_one(self) -> None:
         try:
-            data, source = self._socket.recvfrom(_DATAGRAM_BYTES)
+            data, source = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
         except TimeoutError:
             return
         try:
--- a/tests/control/test_examples.py
+++ b/tests/control/test_examples.py
@@ -33,6 +33,6 @@
     }
     world = plan.World(configuration.Configuration(), states)
     store = plan.WeightStore(1.4, 15)
-    drawn = plan.build_plan(world, change, store, plan.Draft("p", "o", 0.0))
-    assert isinstance(drawn, plan.Plan), drawn
-    assert drawn.cost.moves >= models + adapters
+    planned = plan.build_plan(world, change, store, plan.Draft("p", "o", 0.0))
+    assert isinstance(planned, plan.Plan), planned
+    assert planned.cost.moves >= models + adapters
--- a/tests/control/test_operators.py
+++ b/tests/control/test_operators.py
@@ -23,7 +23,7 @@
 def propose(system, name, size=5, n=0):
     # A load in progress would change the state that the plan is based on.
     system_module.wait_until(
-        lambda: no_plan_in_progress(system), "no plan runs"
+        lambda: no_plan_in_progress(system), "no plan in progress"
     )
     intent = system_module.grow_intent(name=name, size=size)
     reply = system.operate("POST", "/v1/plans", intent.encode(), n)
