--- a/src/wayslip/peers/calls.py
+++ b/src/wayslip/peers/calls.py
@@ -1,8 +1,8 @@
 """Calls between daemons: a request and its answer over a websocket.
 
-A connection carries one call at a time; idle ones are kept for the next. Both
-ends prove the peer key through the first frames, which are sealed under a key
-made from both nonces.
+A connection carries one call at a time; idle connections are reused. Frames
+are authenticated with a key derived from the peer key and the nonces of both
+ends, so that the first frames prove that both ends have the peer key.
 """
 
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 from wayslip.peers import messages
 
 _LOG = logging.getLogger(__name__)
-_IDLE_KEPT = 4
+_MAX_IDLE_LINKS = 4
 _CONNECT_SECONDS = 1.0
 _IDLE_SECONDS = 60.0
 _MAX_CONNECTIONS = 256
@@ -35,7 +35,7 @@
 
 
 class Server:
-    """Answers peers' calls by the handler of each message type."""
+    """Answers peers' calls with the handler of each message type."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._key = key
         self._metrics = metrics
         self._handlers: dict[type, Handler] = {}
-        self._room = threading.BoundedSemaphore(_MAX_CONNECTIONS)
+        self._connection_slots = threading.BoundedSemaphore(_MAX_CONNECTIONS)
         host, port = addresses.split_address(address)
         self._server = ws_server.serve(
             self._serve,
@@ -62,19 +62,19 @@
         )
 
     def handle(self, kind: type, handler: Handler) -> None:
-        """Files the handler of a message type."""
+        """Registers the handler of a message type."""
         self._handlers[kind] = handler
 
     def start(self) -> None:
-        """Serves in a thread."""
+        """Starts to serve in a thread."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stops taking calls."""
+        """Stops accepting calls."""
         self._server.shutdown()
 
     def _serve(self, conn: ws_server.ServerConnection) -> None:
-        if not self._room.acquire(blocking=False):
+        if not self._connection_slots.acquire(blocking=False):
             self._metrics.count("peer_connections_refused")
             return
         try:
@@ -87,7 +87,7 @@
         except (websockets.WebSocketException, OSError, TimeoutError):
             pass
         finally:
-            self._room.release()
+            self._connection_slots.release()
 
     def _answer_calls(self, conn: ws_server.ServerConnection) -> None:
         nonce = frames.make_nonce()
@@ -105,7 +105,7 @@
         handler = self._handlers.get(type(message))
         if handler is None:
             return messages.Failed(
-                f"{type(message).__name__} is not for this process",
+                f"{type(message).__name__} is not handled by this process",
                 "ask the other daemon of the instance",
             )
         try:
@@ -113,9 +113,11 @@
         except errors.WayslipError as e:
             return messages.Failed(e.reason, e.remedy)
         except Exception:
-            # A fault in one call must not take the peer link down.
+            # A fault in one call must not close the connection.
             _LOG.exception("peer_call_failed")
-            return messages.Failed("the peer failed", "see the peer's log")
+            return messages.Failed(
+                "the peer failed to answer", "see the peer's log"
+            )
 
 
 class _Link:
@@ -129,7 +131,7 @@
             compression=None,
             proxy=None,
         )
-        # The link outlives this block; whoever drops it closes `conn`.
+        # The connection outlives this block; the owner of the link closes it.
         self.conn = contextlib.ExitStack().enter_context(connecting)
         server_nonce = _receive_nonce(self.conn)
         nonce = frames.make_nonce()
@@ -145,7 +147,7 @@
 
 
 class Client:
-    """Calls peers. Safe for many threads."""
+    """Calls peers. Safe for use by several threads."""
 
     def __init__(self, key: bytes, limits: settings.Limits) -> None:
         self._key = key
@@ -156,13 +158,19 @@
     def call(
         self, address: str, message: object, kind: type[A], timeout: float
     ) -> A:
-        """Sends a message and returns the answer, which is of a known type.
+        """Sends a message and returns the answer.
+
+        Args:
+            address: The peer, "IP:PORT".
+            message: The message to send.
+            kind: The type of the expected answer.
+            timeout: Seconds to wait for the answer.
 
         Raises:
-            NotSentError: The peer can not have seen the message.
-            PeerError: It may have seen it, or it refused.
+            NotSentError: The message was not sent.
+            PeerError: The peer may have received the message, or refused it.
         """
-        link = self._take(address)
+        link = self._acquire_link(address)
         try:
             answer = link.call(message, timeout)
         except (
@@ -174,9 +182,9 @@
             link.conn.close_socket()
             raise errors.PeerError(
                 f"{address} did not answer ({type(e).__name__})",
-                "the peer may have died; the call may have had effect",
+                "the peer may have crashed; the call may have taken effect",
             ) from e
-        self._give_back(address, link)
+        self._release_link(address, link)
         if isinstance(answer, messages.Failed):
             raise errors.PeerError(answer.reason, answer.remedy)
         if not isinstance(answer, kind):
@@ -189,15 +197,15 @@
     def close(self) -> None:
         """Closes the idle connections."""
         with self._lock:
-            links = [link for kept in self._idle.values() for link in kept]
+            links = [link for idle in self._idle.values() for link in idle]
             self._idle.clear()
         for link in links:
             link.conn.close()
 
-    def _take(self, address: str) -> _Link:
+    def _acquire_link(self, address: str) -> _Link:
         with self._lock:
-            kept = self._idle.get(address)
-            link = kept.pop() if kept else None
+            idle = self._idle.get(address)
+            link = idle.pop() if idle else None
         if link is not None and _is_open(link):
             return link
         try:
@@ -213,11 +221,11 @@
                 "check that the peer runs",
             ) from e
 
-    def _give_back(self, address: str, link: _Link) -> None:
+    def _release_link(self, address: str, link: _Link) -> None:
         with self._lock:
-            kept = self._idle.setdefault(address, [])
-            if len(kept) < _IDLE_KEPT:
-                kept.append(link)
+            idle = self._idle.setdefault(address, [])
+            if len(idle) < _MAX_IDLE_LINKS:
+                idle.append(link)
                 return
         link.conn.close()
 
@@ -229,7 +237,7 @@
 def _as_bytes(frame: str | bytes) -> bytes:
     if isinstance(frame, str):
         raise errors.FrameError(
-            "a frame is text", "run the same release on all instances"
+            "received a text frame", "run the same release on all instances"
         )
     return frame
 
--- a/src/wayslip/peers/node.py
+++ b/src/wayslip/peers/node.py
@@ -1,8 +1,8 @@
-"""A daemon among its peers: membership, facts and configuration by gossip.
+"""A daemon's peer node: membership, facts and configuration by gossip.
 
-One thread owns the membership and the datagram socket; all state that other
-threads read is behind one lock. A pull of configuration is a blocking call,
-so it has a thread of its own.
+One thread receives datagrams and runs the membership; one lock guards the
+state that other threads use. Pulls of the configuration are blocking calls and
+run in a separate thread.
 """
 
 import dataclasses
@@ -28,19 +28,20 @@
 from wayslip.peers import messages
 
 _LOG = logging.getLogger(__name__)
-_DATAGRAM_BYTES = 8_192
+_MAX_DATAGRAM_BYTES = 8_192
 _FACTS_PER_DATAGRAM = 8
 _TICKS_PER_PERIOD = 5
 _JOIN_SECONDS = 5.0
 _CALL_SECONDS = 2.0
-_FACT_SENDS = 6
+# A new fact is added to this many outgoing datagrams.
+_SENDS_PER_FACT = 6
 
 A = TypeVar("A")
 
 
 @dataclasses.dataclass(frozen=True)
 class Identity:
-    """Who a daemon is among its peers."""
+    """The identity of a daemon among its peers."""
 
     role: membership_module.Role
     instance: settings_module.Instance
@@ -48,12 +49,12 @@
 
     @property
     def name(self) -> str:
-        """Role and instance, unique among members."""
+        """The member name, "ROLE/INSTANCE"."""
         return f"{self.role}/{self.instance.name}"
 
 
 class Node:
-    """Keeps a daemon in touch with the others."""
+    """Connects a daemon with its peers."""
 
     def __init__(
         self,
@@ -68,7 +69,7 @@
         self._key = settings.security.peer_key.encode()
         self._lock = threading.RLock()
         self._facts = facts_module.FactTable()
-        self._fresh: dict[tuple, tuple[facts_module.Fact, int]] = {}
+        self._unsent_facts: dict[tuple, tuple[facts_module.Fact, int]] = {}
         self._listeners: list = []
         self._pulls: queue.Queue[str] = queue.Queue(maxsize=8)
         self._stopping = threading.Event()
@@ -105,23 +106,23 @@
             threading.Thread(target=self._pull, name="pull", daemon=True),
         ]
 
-    # Life
+    # Life cycle
 
     def start(self) -> None:
-        """Starts to talk to peers."""
+        """Starts to communicate with peers."""
         self.calls.start()
         for thread in self._threads:
             thread.start()
 
     def leave(self) -> None:
-        """Tells the peers that this daemon is stopping."""
+        """Notifies peers that this daemon is stopping."""
         with self._lock:
             self._membership.leave()
-            outs = self._push_targets(self._settings.peers.fanout)
-        self._send_all(outs)
+            outgoing = self._push_targets(self._settings.peers.fanout)
+        self._send_all(outgoing)
 
     def stop(self) -> None:
-        """Ends the threads and closes the sockets."""
+        """Stops the threads and closes the sockets."""
         self._stopping.set()
         self._threads[0].join(timeout=2.0)
         self.calls.stop()
@@ -133,16 +134,16 @@
     def live(
         self, role: membership_module.Role | None = None
     ) -> tuple[membership_module.Member, ...]:
-        """Returns the members that work."""
+        """Returns alive and suspect members, of one role or of all."""
         with self._lock:
             return self._membership.live(role)
 
     def live_names(self, role: membership_module.Role) -> list[str]:
-        """Returns the names of the members of a role that work."""
+        """Returns the names of a role's alive and suspect members."""
         return [m.name for m in self.live(role)]
 
     def members(self) -> tuple[membership_module.Member, ...]:
-        """Returns all members that are remembered."""
+        """Returns all known members, including dead ones."""
         with self._lock:
             return self._membership.members
 
@@ -159,19 +160,19 @@
     def arrivals(
         self, topic: facts_module.Topic
     ) -> tuple[tuple[facts_module.Fact, float], ...]:
-        """Returns the facts of a topic with their steady arrival times."""
+        """Returns a topic's facts with arrival times (by `clock.now`)."""
         with self._lock:
             return self._facts.arrivals(topic)
 
-    # Telling and asking
+    # Publishing and calling
 
     def subscribe(self, listener) -> None:  # type: ignore[no-untyped-def]
-        """Has a function called with the facts that were news."""
+        """Registers a function to call with facts that are new or newer."""
         self._listeners.append(listener)
 
     def publish(self, fact: facts_module.Fact) -> None:
-        """Tells a fact to a few peers at once, who tell it on."""
-        self._take_facts((fact,))
+        """Sends a fact to a few peers at once, which forward it."""
+        self._apply_facts((fact,))
 
     def call(
         self,
@@ -180,7 +181,7 @@
         kind: type[A],
         timeout: float = _CALL_SECONDS,
     ) -> A:
-        """Calls a member, see `calls.Client.call`."""
+        """Calls a member; see `calls.Client.call`."""
         return self._client.call(member.address, message, kind, timeout)
 
     # Gossip
@@ -198,9 +199,9 @@
     def _tick(self) -> None:
         now = clock.now()
         with self._lock:
-            outs = self._membership.tick(now)
+            outgoing = self._membership.tick(now)
             self._facts.expire(now)
-        self._send_all(outs)
+        self._send_all(outgoing)
         if now - self._joined_at > _JOIN_SECONDS and not self._has_peers():
             self._joined_at = now
             self._request_pull("join")
@@ -210,7 +211,7 @@
 
     def _receive_one(self) -> None:
         try:
-            data, source = self._socket.recvfrom(_DATAGRAM_BYTES)
+            data, source = self._socket.recvfrom(_MAX_DATAGRAM_BYTES)
         except TimeoutError:
             return
         try:
@@ -225,33 +226,35 @@
         now = clock.now()
         address = f"{source[0]}:{source[1]}"
         with self._lock:
-            outs = self._membership.receive(gossip.probe, address, now)
+            outgoing = self._membership.receive(gossip.probe, address, now)
             sender = self._membership.get(gossip.probe.sender)
-        self._send_all(outs)
-        self._take_facts(gossip.facts)
+        self._send_all(outgoing)
+        self._apply_facts(gossip.facts)
         if gossip.generation > self.holder.generation and sender:
             self._request_pull(sender.address)
 
-    def _take_facts(self, new: tuple[facts_module.Fact, ...]) -> None:
+    def _apply_facts(self, new: tuple[facts_module.Fact, ...]) -> None:
         if not new:
             return
         with self._lock:
-            news = self._facts.merge(new, clock.now())
-            for fact in news:
-                self._fresh[fact.id] = (fact, _FACT_SENDS)
-            outs = (
-                self._push_targets(self._settings.peers.fanout) if news else []
+            changed = self._facts.merge(new, clock.now())
+            for fact in changed:
+                self._unsent_facts[fact.id] = (fact, _SENDS_PER_FACT)
+            outgoing = (
+                self._push_targets(self._settings.peers.fanout)
+                if changed
+                else []
             )
-        self._send_all(outs)
+        self._send_all(outgoing)
         for listener in self._listeners:
-            if news:
-                listener(news)
+            if changed:
+                listener(changed)
 
     def push_generation(self) -> None:
-        """Tells a few peers at once that the configuration rose."""
+        """Announces the current generation to a few peers at once."""
         with self._lock:
-            outs = self._push_targets(self._settings.peers.fanout)
-        self._send_all(outs)
+            outgoing = self._push_targets(self._settings.peers.fanout)
+        self._send_all(outgoing)
 
     def _push_targets(self, count: int) -> list[membership_module.Outgoing]:
         message = membership_module.Message(
@@ -265,19 +268,21 @@
             for m in self._membership.pick(count)
         ]
 
-    def _take_fresh(self) -> tuple[facts_module.Fact, ...]:
-        chosen = list(self._fresh.items())[:_FACTS_PER_DATAGRAM]
-        for fact_id, (fact, left) in chosen:
-            del self._fresh[fact_id]
-            if left > 1:
-                self._fresh[fact_id] = (fact, left - 1)
+    def _take_unsent_facts(self) -> tuple[facts_module.Fact, ...]:
+        chosen = list(self._unsent_facts.items())[:_FACTS_PER_DATAGRAM]
+        for fact_id, (fact, sends_left) in chosen:
+            del self._unsent_facts[fact_id]
+            if sends_left > 1:
+                self._unsent_facts[fact_id] = (fact, sends_left - 1)
         return tuple(fact for _, (fact, _) in chosen)
 
-    def _send_all(self, outs: list[membership_module.Outgoing]) -> None:
-        for out in outs:
+    def _send_all(self, outgoing: list[membership_module.Outgoing]) -> None:
+        for out in outgoing:
             with self._lock:
-                fresh = self._take_fresh()
-            gossip = messages.Gossip(out.message, fresh, self.holder.generation)
+                unsent = self._take_unsent_facts()
+            gossip = messages.Gossip(
+                out.message, unsent, self.holder.generation
+            )
             data = frames.seal_datagram(self._key, gossip, time.time())
             self._metrics.count("gossip_bytes", len(data), direction="out")
             try:
@@ -292,7 +297,7 @@
         try:
             self._pulls.put_nowait(address)
         except queue.Full:
-            # The next datagram asks again.
+            # The next datagram requests the pull again.
             pass
 
     def _pull(self) -> None:
