--- a/tests/gateway/test_deadly_requests.py
+++ b/tests/gateway/test_deadly_requests.py
@@ -298,7 +298,7 @@
     await system.add("e2", "plain")
     refused = await ask(system, system.gateway, "r8", b"mild")
     assert refused.status == 503
-    with mock.patch.object(suspicion, "_TRIAL_SECONDS", 0.0):
+    with mock.patch.object(suspicion, "_PROBE_SECONDS", 0.0):
         answer = await ask(system, system.gateway, "r9", b"mild")
     assert answer.status == 200
     assert not quarantine
@@ -312,7 +312,7 @@
         facts.Suspects((suspicion.CrashRecord(b"c", "e1", attempts=3),))
     )
     assert not quarantine.begin_probe(b"c")
-    later = clock.now() + suspicion._TRIAL_SECONDS
+    later = clock.now() + suspicion._PROBE_SECONDS
     with mock.patch.object(clock, "now", lambda: later):
         assert quarantine.begin_probe(b"c")
         assert not quarantine.begin_probe(b"c")
