--- a/src/wayslip/entry/keyed.py
+++ b/src/wayslip/entry/keyed.py
@@ -420,9 +420,7 @@
 
 def _replay(answer: journal.Answer) -> messages.Forwarded:
     if answer.body is None:
-        text = (
-            b'{"error": {"message": "it ran, but its answer was not stored"}}'
-        )
+        text = b'{"error": {"message": "it ran; its answer is not kept"}}'
         return messages.Forwarded(410, web.RAN, "application/json", text)
     return messages.Forwarded(
         answer.status, web.RAN, answer.content_type, answer.body
