--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -31,7 +31,7 @@
     "authority": (6, 26, 33.0),
     "association": (9, 39, 50.0),
 }
-STRETCHES = ("quiet", "rush", "burst", "death", "overload")
+SCENARIOS = ("quiet", "rush", "burst", "death", "overload")
 ENTRIES = 6
 
 
@@ -45,9 +45,9 @@
         self._prefixes = prefixes.PrefixIndex()
         self._sent: dict[str, list[routing.Sent]] = {}
         self._in_flight: dict[str, int] = {}
-        self._turn = seed
+        self._round_robin_index = seed
         self.peers: list[Entry] = []
-        self.spent = 0.0
+        self.decision_seconds = 0.0
         self.decisions = 0
 
     def choose(self, job: fake.Job) -> routing.Choice:
@@ -61,15 +61,15 @@
         home = routing.find_home(job.prompt, names)
         candidates = [self._candidate(n, job, n == home) for n in names]
         if self._policy == "round-robin":
-            self._turn += 1
-            chosen = candidates[self._turn % len(candidates)]
+            self._round_robin_index += 1
+            chosen = candidates[self._round_robin_index % len(candidates)]
             delay = routing.predict_first_token(chosen, job.tokens)
             choice = routing.make_choice(chosen, delay)
         else:
             sample = routing.sample_candidates(candidates, self._rng)
             policy = routing.POLICIES.get(self._policy)
             choice = policy(sample, job.tokens, self._rng)
-        self.spent += time.perf_counter() - began
+        self.decision_seconds += time.perf_counter() - began
         self.decisions += 1
         return choice
 
@@ -83,8 +83,8 @@
         sent = [s for s in self._sent.get(name, ()) if s.at > at]
         self._sent[name] = sent
         # Peers tell what they sent with a lag of a poll period.
-        reported_until = self._pool.clock.now - fake.REPORT_LAG / 2
-        told = [
+        reported_until = self._pool.clock.now - fake.REPORT_LAG_SECONDS / 2
+        reported = [
             s
             for p in self.peers
             for s in p._sent.get(name, ())
@@ -92,7 +92,7 @@
         ]
         peers = len(self.peers)
         unseen = routing.estimate_unseen(sent, reported_until, peers)
-        known = sorted((*sent, *told, *unseen), key=lambda s: s.at)
+        known = sorted((*sent, *reported, *unseen), key=lambda s: s.at)
         return routing.Candidate(
             name=name,
             running=running,
@@ -105,9 +105,9 @@
                 fake.PREFILL_RATE,
                 self._pool.clock.now,
             ),
-            sent=len(sent) + len(told) + len(unseen) * peers,
+            sent=len(sent) + len(reported) + len(unseen) * peers,
             prefill_rate=fake.PREFILL_RATE,
-            step=fake.STEP,
+            step=fake.STEP_SECONDS,
             cached_tokens=cached,
             in_flight=self._in_flight.get(name, 0),
         )
@@ -129,13 +129,13 @@
 
 
 def run(
-    user: str, stretch: str, policy: str, admit: str, seed: int, seconds: float
+    user: str, scenario: str, policy: str, admit: str, seed: int, seconds: float
 ) -> tuple[fake.Result, float]:
     """Returns the result of one stretch and microseconds a decision."""
     engines, models, busy = USERS[user]
     rates = {"quiet": 0.3, "rush": 1.0, "burst": 0.7, "death": 0.7}
-    rate = busy * rates.get(stretch, 3.0)
-    burst = seconds / 3 if stretch == "burst" else 0.0
+    rate = busy * rates.get(scenario, 3.0)
+    burst = seconds / 3 if scenario == "burst" else 0.0
     clock = fake.Clock()
     names = [f"e{n}" for n in range(engines)]
     pool = fake.Pool(names, clock)
@@ -146,16 +146,16 @@
     entries = [Entry(pool, policy, seed * 100 + n) for n in range(ENTRIES)]
     for entry in entries:
         entry.peers = [e for e in entries if e is not entry]
-    jobs = fake.make_jobs(fake.Mix(rate, models, seconds, burst), seed)
+    jobs = fake.make_jobs(fake.Workload(rate, models, seconds, burst), seed)
     rng = random.Random(seed)
-    gate = admission.POLICIES.get(admit)
+    check_admission = admission.POLICIES.get(admit)
     limits = settings.Admission(policy=admit)
     in_entry = [0] * ENTRIES
 
     def arrive(job: fake.Job) -> None:
         number = rng.randrange(ENTRIES)
         entry = entries[number]
-        pool.result.asked[job.priority] += 1
+        pool.result.arrived[job.priority] += 1
         choice = entry.choose(job)
         caller = settings.Caller(
             name="c", key="k" * 16, priority=job.priority, max_in_flight=10_000
@@ -169,19 +169,19 @@
             60.0,
             choice.occupancy,
         )
-        if gate(load, caller, limits) is not None:
+        if check_admission(load, caller, limits) is not None:
             pool.result.refused[job.priority] += 1
             return
         entry.send(job, choice)
 
     for job in jobs:
         clock.add(job.at, lambda j=job: arrive(j))
-    if stretch == "death":
+    if scenario == "death":
         clock.add(seconds / 2, lambda: _kill(pool, entries, names[0]))
     clock.run(seconds * 1.5)
-    spent = sum(e.spent for e in entries)
+    decision_seconds = sum(e.decision_seconds for e in entries)
     decided = sum(e.decisions for e in entries)
-    return pool.result, 1e6 * spent / max(decided, 1)
+    return pool.result, 1e6 * decision_seconds / max(decided, 1)
 
 
 def _kill(pool: fake.Pool, entries: list[Entry], name: str) -> None:
@@ -190,7 +190,7 @@
         entry.send(job, entry.choose(job))
 
 
-def _part(values: list[float], fraction: float) -> float:
+def _quantile(values: list[float], fraction: float) -> float:
     ordered = sorted(values)
     return ordered[int(len(ordered) * fraction)] if ordered else 0.0
 
@@ -202,7 +202,7 @@
     parser.add_argument("--first-seed", type=int, default=1)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--users", default=",".join(USERS))
-    parser.add_argument("--stretches", default=",".join(STRETCHES))
+    parser.add_argument("--stretches", default=",".join(SCENARIOS))
     parser.add_argument("--policies", default=",".join(POLICIES))
     parser.add_argument("--admit", default="limits,deadline")
     args = parser.parse_args()
@@ -213,32 +213,32 @@
         f" {'us':>5}"
     )
     for user in args.users.split(","):
-        for stretch in args.stretches.split(","):
+        for scenario in args.stretches.split(","):
             for policy in args.policies.split(","):
                 for admit in args.admit.split(","):
-                    _print_row(user, stretch, policy, admit, args)
+                    _print_row(user, scenario, policy, admit, args)
 
 
 def _print_row(
-    user: str, stretch: str, policy: str, admit: str, args: argparse.Namespace
+    user: str, scenario: str, policy: str, admit: str, args: argparse.Namespace
 ) -> None:
     shares, dispatch, firsts, gaps, costs = [], [], [], [], []
     for seed in range(args.first_seed, args.first_seed + args.seeds):
-        result, cost = run(user, stretch, policy, admit, seed, args.seconds)
-        asked = sum(result.asked.values())
-        shares.append(100 * sum(result.attained.values()) / asked)
+        result, cost = run(user, scenario, policy, admit, seed, args.seconds)
+        arrived = sum(result.arrived.values())
+        shares.append(100 * sum(result.attained.values()) / arrived)
         dispatch.append(
-            100 * result.attained["dispatch"] / result.asked["dispatch"]
+            100 * result.attained["dispatch"] / result.arrived["dispatch"]
         )
         firsts += [f for values in result.first.values() for f in values]
         gaps += result.gaps
         costs.append(cost)
     print(
-        f"{user:>11} {stretch:>8} {policy:>17} {admit:>8}"
+        f"{user:>11} {scenario:>8} {policy:>17} {admit:>8}"
         f" {statistics.mean(shares):>8.2f} {statistics.pstdev(shares):>6.2f}"
         f" {statistics.mean(dispatch):>6.1f}"
-        f" {_part(firsts, 0.5):>7.3f} {_part(firsts, 0.95):>7.3f}"
-        f" {_part(firsts, 0.99):>7.3f} {1000 * _part(gaps, 0.95):>5.0f}"
+        f" {_quantile(firsts, 0.5):>7.3f} {_quantile(firsts, 0.95):>7.3f}"
+        f" {_quantile(firsts, 0.99):>7.3f} {1000 * _quantile(gaps, 0.95):>5.0f}"
         f" {statistics.mean(costs):>5.0f}",
         flush=True,
     )
--- a/bench/fake.py
+++ b/bench/fake.py
@@ -42,21 +42,21 @@
 BLOCK_TOKENS = 64
 CACHE_BLOCKS = 3000
 PREFILL_RATE = 8000.0
-CHUNK = 512
-STEP = 0.025
+CHUNK_TOKENS = 512
+STEP_SECONDS = 0.025
 # Each running request makes a step this much longer.
-STEP_PER_RUNNING = 0.0006
+STEP_SECONDS_PER_REQUEST = 0.0006
 SLOTS = 32
-REPORT_LAG = 0.5
+REPORT_LAG_SECONDS = 0.5
 
 
 @dataclasses.dataclass
-class _Waiting:
+class _QueuedJob:
     """A job in an engine's queue; left is prefill still to do."""
 
     job: Job
     on_end: Any
-    left: int
+    tokens_left: int
     has_begun: bool = False
 
 
@@ -78,7 +78,7 @@
     @property
     def waiting_tokens(self) -> int:
         """Prefill of the requests in the queue."""
-        return sum(entry.left for _, _, entry in self.queue)
+        return sum(entry.tokens_left for _, _, entry in self.queue)
 
     def cached(self, job: Job) -> int:
         """Tokens of a prompt that the cache holds."""
@@ -89,7 +89,7 @@
             length += 1
         return length * BLOCK_TOKENS
 
-    def remember(self, job: Job) -> None:
+    def cache_prompt(self, job: Job) -> None:
         """Puts a prompt into the cache; the oldest blocks go."""
         for block in job.prompt:
             self.cache[block] = None
@@ -107,7 +107,7 @@
     attained: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    asked: collections.Counter[str] = dataclasses.field(
+    arrived: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     refused: collections.Counter[str] = dataclasses.field(
@@ -147,21 +147,21 @@
         self._report()
 
     def _report(self) -> None:
-        taken = {
+        snapshot = {
             n: (self.clock.now, e.running + len(e.queue), e.waiting_tokens)
             for n, e in self.engines.items()
         }
 
         def publish() -> None:
-            self.reports = taken
+            self.reports = snapshot
 
-        self.clock.add(self.clock.now + REPORT_LAG / 2, publish)
-        self.clock.add(self.clock.now + REPORT_LAG, self._report)
+        self.clock.add(self.clock.now + REPORT_LAG_SECONDS / 2, publish)
+        self.clock.add(self.clock.now + REPORT_LAG_SECONDS, self._report)
 
     def submit(self, engine: Engine, job: Job, on_end: Any) -> None:
         """Hands a job to an engine."""
         uncached = max(job.tokens - engine.cached(job), 1)
-        entry = _Waiting(job, on_end, uncached)
+        entry = _QueuedJob(job, on_end, uncached)
         heapq.heappush(engine.queue, (job.rank, job.id, entry))
         self._start(engine)
 
@@ -173,30 +173,32 @@
             if engine.running >= SLOTS:
                 return
             entry.has_begun = True
-            entry.left = max(entry.job.tokens - engine.cached(entry.job), 1)
+            entry.tokens_left = max(
+                entry.job.tokens - engine.cached(entry.job), 1
+            )
             engine.running += 1
         heapq.heappop(engine.queue)
         engine.is_prefilling = True
-        chunk = min(entry.left, CHUNK)
-        entry.left -= chunk
+        chunk = min(entry.tokens_left, CHUNK_TOKENS)
+        entry.tokens_left -= chunk
         done = self.clock.now + chunk / PREFILL_RATE
         self.clock.add(done, lambda: self._prefilled(engine, entry))
 
-    def _prefilled(self, engine: Engine, entry: "_Waiting") -> None:
+    def _prefilled(self, engine: Engine, entry: "_QueuedJob") -> None:
         engine.is_prefilling = False
-        if entry.left:
+        if entry.tokens_left:
             # Another request of a lower rank may go first now.
             job = entry.job
             heapq.heappush(engine.queue, (job.rank, job.id, entry))
         else:
-            engine.remember(entry.job)
+            engine.cache_prompt(entry.job)
             self._decode(engine, entry.job, entry.on_end)
         self._start(engine)
 
     def _decode(self, engine: Engine, job: Job, on_end: Any) -> None:
         now = self.clock.now
-        step = STEP + STEP_PER_RUNNING * engine.running
-        self._note(job, now + step - job.at, step)
+        step = STEP_SECONDS + STEP_SECONDS_PER_REQUEST * engine.running
+        self._record(job, now + step - job.at, step)
         ends = now + step * job.output
         self.clock.add(ends, lambda: self._end(engine, on_end))
 
@@ -205,7 +207,7 @@
         on_end()
         self._start(engine)
 
-    def _note(self, job: Job, first: float, step: float) -> None:
+    def _record(self, job: Job, first: float, step: float) -> None:
         result = self.result
         result.first.setdefault(job.priority, []).append(first)
         result.gaps.append(step)
@@ -224,7 +226,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Mix:
+class Workload:
     """Arrivals of a stretch.
 
     Attributes:
@@ -239,32 +241,32 @@
     burst: float = 0.0
     burst_factor: float = 10.0
     dispatch_share: float = 0.2
-    turns: float = 0.5
+    follow_up_share: float = 0.5
     shared_prefixes: int = 20
 
 
-def make_jobs(mix: Mix, seed: int) -> list[Job]:
+def make_jobs(workload: Workload, seed: int) -> list[Job]:
     """Returns the arrivals of a stretch, by seed."""
     rng = random.Random(seed)
     jobs = []
     at = 0.0
     history: collections.deque[Job] = collections.deque(maxlen=200)
-    weights = [1 / (n + 1) for n in range(mix.models)]
-    hot = rng.sample(range(mix.models), max(mix.models // 10, 1))
+    weights = [1 / (n + 1) for n in range(workload.models)]
+    hot = rng.sample(range(workload.models), max(workload.models // 10, 1))
     for number in itertools.count():
-        is_burst = mix.burst <= at < mix.burst + mix.seconds / 4
-        in_burst = mix.burst > 0 and is_burst
-        rate = mix.rate * (1.6 if in_burst else 1.0)
+        is_burst = workload.burst <= at < workload.burst + workload.seconds / 4
+        in_burst = workload.burst > 0 and is_burst
+        rate = workload.rate * (1.6 if in_burst else 1.0)
         at += rng.expovariate(rate)
-        if at >= mix.seconds:
+        if at >= workload.seconds:
             return jobs
-        now = list(weights)
+        demand = list(weights)
         if in_burst:
             for n in hot:
-                now[n] *= mix.burst_factor
-        model = f"m{rng.choices(range(mix.models), now)[0]}"
-        prompt = _make_prompt(rng, mix, model, history)
-        dispatch = rng.random() < mix.dispatch_share
+                demand[n] *= workload.burst_factor
+        model = f"m{rng.choices(range(workload.models), demand)[0]}"
+        prompt = _make_prompt(rng, workload, model, history)
+        dispatch = rng.random() < workload.dispatch_share
         job = Job(
             number,
             at,
@@ -282,7 +284,7 @@
 
 def _make_prompt(
     rng: random.Random,
-    mix: Mix,
+    workload: Workload,
     model: str,
     history: collections.deque[Job],
 ) -> tuple[int, ...]:
@@ -290,9 +292,9 @@
         rng.getrandbits(60) for _ in range(1 + int(rng.expovariate(1 / 5)))
     )
     earlier = [j for j in history if j.model == model]
-    if earlier and rng.random() < mix.turns:
+    if earlier and rng.random() < workload.follow_up_share:
         # The next turn of a conversation carries the whole of the last.
         return rng.choice(earlier).prompt[:60] + fresh
-    shared = random.Random(f"{model}-{rng.randrange(mix.shared_prefixes)}")
+    shared = random.Random(f"{model}-{rng.randrange(workload.shared_prefixes)}")
     system = tuple(shared.getrandbits(60) for _ in range(12))
     return system + fresh
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -21,16 +21,16 @@
 SIZES = ((6, 26), (59, 213), (117, 213), (300, 213), (1_200, 290))
 # The load that one engine gets on the users' largest deployment: requests a
 # second and the seconds that it takes to read the prompt of one.
-_REQUESTS = 4.1
-_READING = 0.12
-_SECONDS = 0.5
+_REQUESTS_PER_SECOND = 4.1
+_PREFILL_SECONDS = 0.12
+_MEASURE_SECONDS = 0.5
 
 
 def measure(work):
     """Returns the seconds of processor time that one call takes."""
     count = 0
     began = time.process_time()
-    while time.process_time() - began < _SECONDS:
+    while time.process_time() - began < _MEASURE_SECONDS:
         work()
         count += 1
     return (time.process_time() - began) / count
@@ -45,22 +45,22 @@
     return manifest.Pool(64, 130_000, 220_000.0, 8, 1.4, found)
 
 
-def make_demand(engines, models, busy):
+def make_demand(engines, models, busy_models):
     """Returns demand that the busy ones of the models share, as 1 to rank.
 
     The others are asked for once in ten seconds each.
     """
-    total = sum(1 / (1 + n) for n in range(busy))
+    total = sum(1 / (1 + n) for n in range(busy_models))
     found = {}
     for number in range(models):
         rate = 0.1
-        if number < busy:
-            rate = engines * _REQUESTS / (1 + number) / total
-        found[f"m{number}"] = copies.Demand(rate, rate * _READING)
+        if number < busy_models:
+            rate = engines * _REQUESTS_PER_SECOND / (1 + number) / total
+        found[f"m{number}"] = copies.Demand(rate, rate * _PREFILL_SECONDS)
     return found
 
 
-def make_world(engines, models, rng):
+def make_engines(engines, models, rng):
     """Returns engines with three models each."""
     names = [f"m{n}" for n in range(models)]
     return {
@@ -95,9 +95,9 @@
     """Prints one line of the table."""
     rng = random.Random(7)
     pool = make_pool(models)
-    world = make_world(engines, models, rng)
+    tracked = make_engines(engines, models, rng)
     plans = [
-        measure(lambda d=demand: loading.plan_load(world, pool, d, True))
+        measure(lambda d=demand: loading.plan_load(tracked, pool, d, True))
         for demand in (
             make_demand(engines, models, models // 9),
             make_demand(engines, models, models // 2),
@@ -105,7 +105,7 @@
     ]
     candidates = [
         selection.Candidate(n, rng.randrange(40), 64, rng.random())
-        for n in world
+        for n in tracked
     ]
     choose = measure(lambda: selection.choose(candidates, rng.random()))
     state = make_state(engines)
--- a/bench/leaving.py
+++ b/bench/leaving.py
@@ -49,10 +49,13 @@
             faults = {"down": is_down}
             url = f"{fleet.objects_url}/standin/faults"
             processes.fetch("POST", url, faults, processes.TOKEN)
-            taken = [_measure(fleet, names) for _ in range(args.times)]
-            word = "down" if is_down else "up"
-            middle = statistics.median(taken)
-            print(f"{word:>10} {middle:>8.3f} {max(taken):>6.3f}", flush=True)
+            seconds = [_measure(fleet, names) for _ in range(args.times)]
+            label = "down" if is_down else "up"
+            median_seconds = statistics.median(seconds)
+            print(
+                f"{label:>10} {median_seconds:>8.3f} {max(seconds):>6.3f}",
+                flush=True,
+            )
 
 
 def _measure(fleet: processes.Fleet, names: list[str]) -> float:
@@ -61,12 +64,12 @@
     waiting = list(names)
     while waiting:
         waiting = [n for n in waiting if not _is_leaving(fleet, n)]
-    taken = time.monotonic() - began
+    seconds = time.monotonic() - began
     _set_state(fleet, "serving")
     processes.wait_until(
         lambda: not any(_is_leaving(fleet, n) for n in names), "e0 is back"
     )
-    return taken
+    return seconds
 
 
 def _set_state(fleet: processes.Fleet, state: str) -> None:
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -20,7 +20,7 @@
 CALLER_KEY = "caller-key-of-benches-1"
 OPERATOR_KEY = "operator-key-of-benches"
 _START_SECONDS = 60.0
-_CLOCK = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 _HTTP = urllib3.PoolManager(retries=False, timeout=20.0)
 
 
@@ -71,7 +71,7 @@
         """Processor time so far, user and system."""
         text = pathlib.Path(f"/proc/{self.popen.pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / _CLOCK
+        return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
     @property
     def memory_mib(self) -> float:
--- a/bench/propagation.py
+++ b/bench/propagation.py
@@ -62,11 +62,11 @@
             time.sleep(0.2)
         time.sleep(5)
         delays = _read_delays(fleet)
-    last = [delays.get(g, []) for g in range(2, changes + 2)]
-    flat = [d for row in last for d in row]
-    missed = sum(daemons - len(row) for row in last)
+    rows = [delays.get(g, []) for g in range(2, changes + 2)]
+    values = [d for row in rows for d in row]
+    missed = sum(daemons - len(row) for row in rows)
     print(
-        f"{daemons:>7} {statistics.median(flat):>8.3f} {max(flat):>6.3f}"
+        f"{daemons:>7} {statistics.median(values):>8.3f} {max(values):>6.3f}"
         f" {missed:>6} {idle:>9.1f} {memory:>5.0f} {sent:>8.0f}",
         flush=True,
     )
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -15,11 +15,11 @@
 
 from bench import processes
 
-STEP = 0.062
+STEP_SECONDS = 0.062
 ENGINES = 4
 CLIENTS = 4
 # New streams a second; the two-year peak is 21 for each entry.
-RATE = 40
+STREAMS_PER_SECOND = 40
 _INTENT = """
 [[pools]]
 name = "p"
@@ -50,7 +50,7 @@
     with processes.Fleet(sections) as fleet:
         for n in range(ENGINES):
             fleet.start_engine(
-                f"e{n}", 100, "--slots", "2000", "--step", str(STEP)
+                f"e{n}", 100, "--slots", "2000", "--step", str(STEP_SECONDS)
             )
         fleet.add_instance("i0", ("control", "entry"))
         fleet.apply("i0", _INTENT)
@@ -64,7 +64,7 @@
         f"{'streams':>7} {'path':>7} {'us/token':>9} {'first95':>8}"
         f" {'gap50':>7} {'gap95':>7} {'gap99':>7} {'tokens/s':>9} {'MiB':>6}"
     )
-    tokens = int(args.seconds / STEP)
+    tokens = int(args.seconds / STEP_SECONDS)
     for streams in [int(s) for s in args.streams.split(",")]:
         engines = [fleet.addresses[f"e{n}"] for n in range(ENGINES)]
         _run("direct", engines, "m@v1", streams, tokens, None)
@@ -91,7 +91,7 @@
                 *("--key", processes.CALLER_KEY),
                 *("--streams", str(streams // len(addresses))),
                 *("--tokens", str(tokens)),
-                *("--spread", str(streams / RATE)),
+                *("--spread", str(streams / STREAMS_PER_SECOND)),
             ],
             stdout=subprocess.PIPE,
             cwd=processes.ROOT,
@@ -100,11 +100,16 @@
     ]
     # All streams have begun after their spread and a second for the clients'
     # own start; the cost of a token is taken from then until the first ends.
-    time.sleep(streams / RATE + 1.5)
-    before, marked = entry.cpu_seconds if entry else 0.0, time.monotonic()
-    time.sleep(max(tokens * STEP - streams / RATE - 2.5, 1.0))
+    time.sleep(streams / STREAMS_PER_SECOND + 1.5)
+    before, measured_from = (
+        entry.cpu_seconds if entry else 0.0,
+        time.monotonic(),
+    )
+    time.sleep(
+        max(tokens * STEP_SECONDS - streams / STREAMS_PER_SECOND - 2.5, 1.0)
+    )
     spent = entry.cpu_seconds - before if entry else 0.0
-    relayed = streams * (time.monotonic() - marked) / STEP
+    relayed = streams * (time.monotonic() - measured_from) / STEP_SECONDS
     memory = entry.memory_mib if entry else 0.0
     results = [json.loads(c.communicate()[0]) for c in clients]
     seconds = time.monotonic() - began
@@ -123,13 +128,13 @@
     first = sorted(f for r in results for f in r["first"])
     gaps = sorted(g for r in results for g in r["gaps"])
 
-    def part(values: list[float], fraction: float) -> float:
+    def percentile_ms(values: list[float], fraction: float) -> float:
         return 1000 * values[int(len(values) * fraction)]
 
     print(
         f"{streams:>7} {path:>7} {1e6 * per_token:>9.1f}"
-        f" {part(first, 0.95):>8.1f} {part(gaps, 0.5):>7.1f}"
-        f" {part(gaps, 0.95):>7.1f} {part(gaps, 0.99):>7.1f}"
+        f" {percentile_ms(first, 0.95):>8.1f} {percentile_ms(gaps, 0.5):>7.1f}"
+        f" {percentile_ms(gaps, 0.95):>7.1f} {percentile_ms(gaps, 0.99):>7.1f}"
         f" {events / seconds:>9.0f} {memory:>6.0f}"
     )
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -32,7 +32,7 @@
 _KEY = b"0123456789abcdef"
 
 
-def time_of(action: Any, least: float = 0.3) -> float:
+def measure_cpu(action: Any, min_seconds: float = 0.3) -> float:
     """Returns the processor seconds of one call of an action."""
     count = 1
     while True:
@@ -40,9 +40,9 @@
         for _ in range(count):
             action()
         spent = time.process_time() - began
-        if spent >= least:
+        if spent >= min_seconds:
             return spent / count
-        count = max(count * 2, int(count * least / max(spent, 1e-6)))
+        count = max(count * 2, int(count * min_seconds / max(spent, 1e-6)))
 
 
 # Membership
@@ -81,17 +81,21 @@
         for address, node in list(self.nodes.items()):
             self._deliver(address, node.tick(self.now))
 
-    def _deliver(self, source: str, outs: list[membership.Outgoing]) -> None:
-        todo = collections.deque((source, o) for o in outs)
-        while todo:
-            sender, out = todo.popleft()
+    def _deliver(
+        self, source: str, outgoing: list[membership.Outgoing]
+    ) -> None:
+        pending = collections.deque((source, o) for o in outgoing)
+        while pending:
+            sender, out = pending.popleft()
             self.sent += 1
             node = self.nodes.get(out.address)
-            is_cut = (sender in self.parted) != (out.address in self.parted)
-            if node is None or is_cut:
+            is_partitioned = (sender in self.parted) != (
+                out.address in self.parted
+            )
+            if node is None or is_partitioned:
                 continue
             answers = node.receive(out.message, sender, self.now)
-            todo.extend((out.address, a) for a in answers)
+            pending.extend((out.address, a) for a in answers)
 
 
 @SECTIONS.register("membership")
@@ -110,8 +114,8 @@
         sent = fleet.sent / size / 2.0
         print(
             f"{size:>8} {1e6 * spent:>8.0f} {sent:>6.2f}"
-            f" {_time_to_spread(fleet):>8.1f}"
-            f" {_time_to_find_death(fleet):>8.1f}",
+            f" {_measure_dissemination(fleet):>8.1f}"
+            f" {_measure_failure_detection(fleet):>8.1f}",
             flush=True,
         )
     member = membership.Member(
@@ -129,19 +133,19 @@
         fact = facts.Fact(facts.Topic.LEAVING, "engine-1", member.name, 1e9)
         gossip = messages.Gossip(probe, (fact,) * count, 5)
         data = frames.seal_datagram(_KEY, gossip, 1e9)
-        seal = time_of(lambda g=gossip: frames.seal_datagram(_KEY, g, 1e9))
-        opened = time_of(lambda d=data: frames.open_datagram(_KEY, d, 1e9))
+        seal = measure_cpu(lambda g=gossip: frames.seal_datagram(_KEY, g, 1e9))
+        opened = measure_cpu(lambda d=data: frames.open_datagram(_KEY, d, 1e9))
         print(
             f"datagram with {count} facts: {len(data)} bytes,"
             f" seal {1e6 * seal:.0f} us, open {1e6 * opened:.0f} us"
         )
 
 
-def _time_to_spread(fleet: Fleet) -> float:
+def _measure_dissemination(fleet: Fleet) -> float:
     """Seconds until all know of a member's leaving."""
-    leaver = next(iter(fleet.nodes.values()))
-    name = leaver.me.name
-    leaver.leave()
+    leaving_node = next(iter(fleet.nodes.values()))
+    name = leaving_node.me.name
+    leaving_node.leave()
     began = fleet.now
     leaving = membership.Status.LEAVING
 
@@ -156,15 +160,15 @@
     return fleet.now - began
 
 
-def _time_to_find_death(fleet: Fleet) -> float:
+def _measure_failure_detection(fleet: Fleet) -> float:
     """Seconds until all know that a silent member is dead."""
-    address, victim = next(reversed(fleet.nodes.items()))
+    address, failed = next(reversed(fleet.nodes.items()))
     del fleet.nodes[address]
     began = fleet.now
     dead = membership.Status.DEAD
 
     def is_known(node: membership.Membership) -> bool:
-        member = node.get(victim.me.name)
+        member = node.get(failed.me.name)
         return member is None or member.status is dead
 
     while not all(is_known(n) for n in fleet.nodes.values()):
@@ -214,8 +218,8 @@
         )
         delta = after.delta(whole.generation)
         frame = frames.seal_datagram(_KEY, messages.Pulled(delta), 1e9)
-        merge = time_of(lambda w=whole, d=delta: w.merge(d))
-        build = time_of(lambda a=after: catalog.build_catalog(a))
+        merge = measure_cpu(lambda w=whole, d=delta: w.merge(d))
+        build = measure_cpu(lambda a=after: catalog.build_catalog(a))
         print(
             f"{models:>6} {engines:>6} {size:>9} {len(frame):>6}"
             f" {1e3 * merge:>7.2f} {1e3 * build:>7.2f}"
@@ -241,8 +245,8 @@
             held = begun.settle(f"a{n}", ledger.Outcome.APPLIED, seen)
         report = ledger.Residency(1, items, frozenset(), frozenset(names))
         size = len(json.dumps(kinds.LEDGER.dump(held)))
-        observe = time_of(lambda h=held, r=report: h.observe(r, 1.0, 60.0))
-        begin = time_of(lambda h=held: h.begin_load("x", 1, "b", "me"))
+        observe = measure_cpu(lambda h=held, r=report: h.observe(r, 1.0, 60.0))
+        begin = measure_cpu(lambda h=held: h.begin_load("x", 1, "b", "me"))
         print(f"{items:>5} {size:>6} {1e6 * observe:>8.0f} {1e6 * begin:>6.0f}")
 
 
@@ -263,7 +267,7 @@
             sample = routing.sample_candidates(found, rng)
             routing.choose_predicted(sample, 500, rng)
 
-        print(f"{count:>6} {1e6 * time_of(decide):>8.1f}")
+        print(f"{count:>6} {1e6 * measure_cpu(decide):>8.1f}")
     tracemalloc.start()
     index = prefixes.PrefixIndex()
     for engine in range(8):
@@ -300,7 +304,7 @@
         size = len(write())
         print(
             f"{count:>6} {size:>8} {size / count:>6.0f}"
-            f" {1e3 * time_of(write):>7.2f}"
+            f" {1e3 * measure_cpu(write):>7.2f}"
         )
 
 
--- a/bench/stream_client.py
+++ b/bench/stream_client.py
@@ -17,14 +17,14 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.asked = time.monotonic()
-        self.last = 0.0
+        self.sent_at = time.monotonic()
+        self.last_event_at = 0.0
         self.first = 0.0
         self.gaps: list[float] = []
         self.events = 0
         self.tail = b""
 
-    def take(self, data: bytes) -> bool:
+    def feed(self, data: bytes) -> bool:
         """Notes the events in some bytes; returns whether it was the end."""
         now = time.monotonic()
         text = self.tail + data
@@ -33,12 +33,12 @@
         if count:
             if self.events:
                 # Several at once: one waited, the others came with it.
-                self.gaps.append(now - self.last)
+                self.gaps.append(now - self.last_event_at)
                 self.gaps += [0.0] * (count - 1)
             else:
-                self.first = now - self.asked
+                self.first = now - self.sent_at
             self.events += count
-            self.last = now
+            self.last_event_at = now
         return b"0\r\n\r\n" in text
 
 
@@ -68,7 +68,7 @@
             open_streams += 1
         for key, _ in selector.select(0.005):
             data = key.fileobj.recv(65536)  # type: ignore[union-attr]
-            if not data or key.data.take(data):
+            if not data or key.data.feed(data):
                 selector.unregister(key.fileobj)
                 key.fileobj.close()  # type: ignore[union-attr]
                 open_streams -= 1
--- a/replays/__main__.py
+++ b/replays/__main__.py
@@ -38,12 +38,12 @@
     with concurrent.futures.ProcessPoolExecutor() as workers:
         for spreads in (False, True):
             settings = dataclasses.replace(base, spreads=spreads)
-            played = workers.map(
-                spread.play, [settings] * len(seeds), list(seeds)
+            replayed = workers.map(
+                spread.replay, [settings] * len(seeds), list(seeds)
             )
             results += [
                 {"spreads": spreads, "seed": seed, **dataclasses.asdict(result)}
-                for seed, result in zip(seeds, played, strict=True)
+                for seed, result in zip(seeds, replayed, strict=True)
             ]
     print(json.dumps(results, indent=1))
 
--- a/replays/spread.py
+++ b/replays/spread.py
@@ -21,28 +21,28 @@
         instances: Instances that choose.
         copies: Endpoints that hold the model.
         load: Work that comes, as a share of what the copies can read.
-        reading: Seconds that a prompt takes to be read on average.
-        report: Seconds between an instance's reports.
-        state: Seconds between the holder's states.
-        target: Seconds to the first byte that are aimed at.
-        seconds: How long requests come.
+        prefill_seconds: Seconds that a prompt takes to be read on average.
+        report_seconds: Seconds between an instance's reports.
+        state_seconds: Seconds between the holder's states.
+        target_seconds: Seconds to the first byte that are aimed at.
+        duration_seconds: How long requests come.
         spreads: Whether instances reckon with what others send meanwhile.
     """
 
     instances: int = 195
     copies: int = 4
     load: float = 0.85
-    reading: float = 0.055
-    report: float = 0.49
-    state: float = 0.25
-    target: float = 0.8
-    seconds: float = 40.0
+    prefill_seconds: float = 0.055
+    report_seconds: float = 0.49
+    state_seconds: float = 0.25
+    target_seconds: float = 0.8
+    duration_seconds: float = 40.0
     spreads: bool = True
 
     @property
     def rate(self) -> float:
         """Requests a second."""
-        return self.load * self.copies / self.reading
+        return self.load * self.copies / self.prefill_seconds
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
         return [sum(s.seconds for s in sent) for sent in self._sent]
 
 
-class _World:
+class _Simulation:
     """The fleet and the copies, from one seed."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -93,20 +93,22 @@
         self._free_at = [0.0] * copies
         self._fleet = [_Instance(copies) for _ in range(settings.instances)]
         self._reported = [[0.0] * copies for _ in self._fleet]
-        self._told = [0.0] * copies
+        self._published = [0.0] * copies
         self.waits: list[float] = []
 
     def report(self, number: int, now: float) -> None:
         self._reported[number] = self._fleet[number].unread(now)
 
-    def tell(self) -> None:
-        self._told = [sum(parts) for parts in zip(*self._reported, strict=True)]
+    def publish_state(self) -> None:
+        self._published = [
+            sum(seconds) for seconds in zip(*self._reported, strict=True)
+        ]
 
-    def ask(self, now: float) -> None:
+    def send_request(self, now: float) -> None:
         """Plays one request at an instance drawn at random."""
         instance = self._rng.choice(self._fleet)
         copy = self._choose(instance.unread(now))
-        seconds = self._settings.reading * self._rng.uniform(0.3, 1.7)
+        seconds = self._settings.prefill_seconds * self._rng.uniform(0.3, 1.7)
         ends = max(self._free_at[copy], now) + seconds
         self._free_at[copy] = ends
         instance.send(copy, _Sent(ends, seconds))
@@ -118,43 +120,43 @@
             selection.Candidate(
                 str(copy),
                 slots=64,
-                unread=mine + max(told - mine, 0.0),
-                reading=settings.reading,
+                unread=own_seconds + max(published - own_seconds, 0.0),
+                reading=settings.prefill_seconds,
             )
-            for copy, (mine, told) in enumerate(
-                zip(own, self._told, strict=True)
+            for copy, (own_seconds, published) in enumerate(
+                zip(own, self._published, strict=True)
             )
         ]
         unseen = 0.0
         if settings.spreads:
-            age = settings.report + settings.state
-            unseen = settings.rate * settings.reading * age
+            age = settings.report_seconds + settings.state_seconds
+            unseen = settings.rate * settings.prefill_seconds * age
         choice = selection.choose(candidates, self._rng.random(), unseen)
         assert choice is not None
         return int(choice.name)
 
 
-def play(settings: Settings, seed: int) -> Result:
+def replay(settings: Settings, seed: int) -> Result:
     """Returns what comes of a load with one seed."""
     rng = random.Random(seed)
-    world = _World(settings, seed)
-    events: list[tuple[float, int, int]] = [(settings.state, -1, 0)]
+    simulation = _Simulation(settings, seed)
+    events: list[tuple[float, int, int]] = [(settings.state_seconds, -1, 0)]
     for number in range(settings.instances):
-        events.append((rng.uniform(0.0, settings.report), 0, number))
+        events.append((rng.uniform(0.0, settings.report_seconds), 0, number))
     events.append((rng.expovariate(settings.rate), 1, 0))
     heapq.heapify(events)
-    while events[0][0] < settings.seconds:
+    while events[0][0] < settings.duration_seconds:
         now, kind, number = heapq.heappop(events)
         if kind < 0:
-            world.tell()
-            again = settings.state
+            simulation.publish_state()
+            interval = settings.state_seconds
         elif kind == 0:
-            world.report(number, now)
-            again = settings.report
+            simulation.report(number, now)
+            interval = settings.report_seconds
         else:
-            world.ask(now)
-            again = rng.expovariate(settings.rate)
-        heapq.heappush(events, (now + again, kind, number))
-    count = len(world.waits)
-    late = sum(wait > settings.target for wait in world.waits)
-    return Result(count, late / count, sum(world.waits) / count)
+            simulation.send_request(now)
+            interval = rng.expovariate(settings.rate)
+        heapq.heappush(events, (now + interval, kind, number))
+    count = len(simulation.waits)
+    late = sum(wait > settings.target_seconds for wait in simulation.waits)
+    return Result(count, late / count, sum(simulation.waits) / count)
--- a/scripts/run_local.py
+++ b/scripts/run_local.py
@@ -24,13 +24,13 @@
 ENGINE_PORTS = (6101, 6102, 6103)
 SERVICE_PORT = 6201
 CAPACITY = 80_000_000
-HALLS = ("salt-lake", "howrah-hall", "newtown")
-_ENDING_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+DATA_HALLS = ("salt-lake", "howrah-hall", "newtown")
+_STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 # A first command may come before the instances know each other, seconds.
-_TRIES = 20
+_APPLY_ATTEMPTS = 20
 _PAUSE_SECONDS = 0.5
 # Longer than an instance's `drain.finish_seconds`.
-_END_SECONDS = 40
+_STOP_TIMEOUT_SECONDS = 40
 _PREFIX = f"http://127.0.0.1:{OBJECT_PORT}/apis/wayslip.io/v1"
 
 SETTINGS = """\
@@ -76,7 +76,7 @@
         _start_stand_ins(stand_ins)
         _put_endpoints()
         _start_instances(instances)
-        _seed()
+        _apply_example()
         _print_help()
         while all(p.poll() is None for p in [*stand_ins, *instances]):
             time.sleep(0.5)
@@ -94,13 +94,13 @@
     A group's signal comes twice, once more from make. A second one that
     interrupts the clean-up would leave processes behind.
     """
-    for number in _ENDING_SIGNALS:
+    for number in _STOP_SIGNALS:
         signal.signal(number, _raise_interrupt)
 
 
 def _raise_interrupt(number: int, frame: object) -> None:
-    for ending in _ENDING_SIGNALS:
-        signal.signal(ending, signal.SIG_IGN)
+    for stop_signal in _STOP_SIGNALS:
+        signal.signal(stop_signal, signal.SIG_IGN)
     raise KeyboardInterrupt
 
 
@@ -127,8 +127,10 @@
 def _put_endpoints() -> None:
     """Writes the platform's list of endpoints, which is the platform's job."""
     for n, port in enumerate(ENGINE_PORTS, 1):
-        _put_endpoint(f"engine-{n}", "engine", port, HALLS[n - 1], CAPACITY)
-    _put_endpoint("register-1", "service", SERVICE_PORT, HALLS[0], 0)
+        _put_endpoint(
+            f"engine-{n}", "engine", port, DATA_HALLS[n - 1], CAPACITY
+        )
+    _put_endpoint("register-1", "service", SERVICE_PORT, DATA_HALLS[0], 0)
 
 
 def _put_endpoint(
@@ -146,14 +148,14 @@
     request = urllib.request.Request(
         f"{_PREFIX}/endpoints", json.dumps(body).encode(), headers
     )
-    _wait_until(lambda: urllib.request.urlopen(request, timeout=2))
+    _retry_until_success(lambda: urllib.request.urlopen(request, timeout=2))
 
 
-def _wait_until(step) -> None:  # type: ignore[no-untyped-def]
+def _retry_until_success(action) -> None:  # type: ignore[no-untyped-def]
     limit = time.monotonic() + 30
     while True:
         try:
-            step()
+            action()
             return
         except OSError:
             if time.monotonic() > limit:
@@ -168,7 +170,7 @@
         path.write_text(
             SETTINGS.format(
                 n=n,
-                hall=HALLS[n],
+                hall=DATA_HALLS[n],
                 callers=8080 + n,
                 operators=9080 + n,
                 entry_operators=9180 + n,
@@ -183,22 +185,22 @@
         for program in ("control", "entry"):
             _start(processes, f"wayslip.cli.{program}", "--settings", str(path))
     health = "http://127.0.0.1:9080/healthz"
-    _wait_until(lambda: urllib.request.urlopen(health, timeout=2))
+    _retry_until_success(lambda: urllib.request.urlopen(health, timeout=2))
 
 
-def _seed() -> None:
+def _apply_example() -> None:
     """Applies the example's models as an operator would."""
-    plan = apply_models(_control)
-    confirmed = _control("confirm", plan, "--wait", "30")
+    plan = apply_models(_run_wayslipctl)
+    confirmed = _run_wayslipctl("confirm", plan, "--wait", "30")
     if confirmed.returncode:
         raise SystemExit(_describe("confirm", confirmed))
     # The engines now hold the models; the entries hear of it by their polls.
     ready = "http://127.0.0.1:9180/readyz"
-    _wait_until(lambda: urllib.request.urlopen(ready, timeout=2))
+    _retry_until_success(lambda: urllib.request.urlopen(ready, timeout=2))
     time.sleep(1.5)
 
 
-def _control(*args: str) -> subprocess.CompletedProcess[str]:
+def _run_wayslipctl(*args: str) -> subprocess.CompletedProcess[str]:
     """Runs wayslipctl as the local operator."""
     env = {
         **os.environ,
@@ -211,8 +213,8 @@
 
 def apply_models(
     run: Callable[..., subprocess.CompletedProcess[str]],
-    tries: int = _TRIES,
-    pause: float = _PAUSE_SECONDS,
+    attempts: int = _APPLY_ATTEMPTS,
+    pause_seconds: float = _PAUSE_SECONDS,
 ) -> str:
     """Applies the example's models; returns the plan's id.
 
@@ -220,22 +222,22 @@
 
     Args:
         run: Runs wayslipctl with some arguments.
-        tries: Times that it is asked.
-        pause: Between them, seconds.
+        attempts: Times that it is asked.
+        pause_seconds: Between them, seconds.
     """
     models = str(ROOT / "examples" / "models.toml")
-    for _ in range(tries):
+    for _ in range(attempts):
         applied = run("--json", "apply", models)
         if not applied.returncode:
             return str(json.loads(applied.stdout)["id"])
-        time.sleep(pause)
+        time.sleep(pause_seconds)
     raise SystemExit(_describe("apply", applied))
 
 
-def _describe(verb: str, ended: subprocess.CompletedProcess[str]) -> str:
+def _describe(verb: str, result: subprocess.CompletedProcess[str]) -> str:
     """Returns why a command failed; with --json it says so on stdout."""
-    said = f"{ended.stderr}\n{ended.stdout}".strip()
-    return f"wayslipctl {verb} ended with {ended.returncode}: {said}"
+    output = f"{result.stderr}\n{result.stdout}".strip()
+    return f"wayslipctl {verb} ended with {result.returncode}: {output}"
 
 
 def _print_help() -> None:
@@ -264,12 +266,12 @@
         for process in group:
             process.terminate()
         for process in group:
-            _wait_for_end(process)
+            _wait_for_exit(process)
 
 
-def _wait_for_end(process: subprocess.Popen) -> None:
+def _wait_for_exit(process: subprocess.Popen) -> None:
     try:
-        process.wait(timeout=_END_SECONDS)
+        process.wait(timeout=_STOP_TIMEOUT_SECONDS)
     except subprocess.TimeoutExpired:
         print(f"process {process.pid} is killed: it did not end in time")
         process.kill()
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -32,11 +32,11 @@
 ENGINES = 3
 SERVICES = 2
 CAPACITY = 100
-FAULT_EVERY = 1.5
+MEAN_FAULT_INTERVAL_SECONDS = 1.5
 CALLERS = 4
-KEY_TRIES = 6
+KEY_ATTEMPTS = 6
 SETTLE_SECONDS = 40.0
-_SHOWN = 20
+_MAX_SHOWN_VIOLATIONS = 20
 INTENT = """
 [[pools]]
 name = "p"
@@ -63,7 +63,7 @@
 endpoints = ["s0", "s1"]
 requires_key = true
 """
-GROW = """
+ADD_MODEL = """
 [[models]]
 name = "x{n}"
 pool = "p"
@@ -73,7 +73,7 @@
 name = "v1"
 size = {size}
 """
-SHRINK = """
+DELETE_MODEL = """
 [[delete]]
 kind = "model"
 name = "x{n}"
@@ -123,7 +123,7 @@
         kind = rng.choice(FAULTS)
         length = rng.uniform(0.3, 4.0)
         schedule.append(Fault(at, kind, rng.randrange(3), length))
-        at += rng.expovariate(1 / FAULT_EVERY)
+        at += rng.expovariate(1 / MEAN_FAULT_INTERVAL_SECONDS)
     return schedule
 
 
@@ -141,12 +141,12 @@
         with self.lock:
             self.counts[name] += 1
 
-    def violate(self, text: str) -> None:
+    def add_violation(self, text: str) -> None:
         """Notes a violation."""
         with self.lock:
             self.violations.append(text)
 
-    def tell(self, run_id: str, outcome: str) -> None:
+    def record_outcome(self, run_id: str, outcome: str) -> None:
         """Notes what a caller was told of a key."""
         with self.lock:
             self.outcomes.setdefault(run_id, []).append(outcome)
@@ -154,15 +154,15 @@
 
     def check_runs(self, runs: dict[str, int]) -> None:
         """Compares what callers were told with true executions."""
-        for run_id, told in self.outcomes.items():
+        for run_id, reported in self.outcomes.items():
             ran = runs.get(run_id, 0)
             if ran > 1:
-                self.violate(f"{run_id} ran {ran} times, told {told}")
-            if "ran" in told and ran != 1:
-                self.violate(f"{run_id} told ran, ran {ran} times")
-            if set(told) == {"not-run"} and ran:
-                self.violate(f"{run_id} told not-run, ran {ran} times")
-            last = told[-1]
+                self.add_violation(f"{run_id} ran {ran} times, told {reported}")
+            if "ran" in reported and ran != 1:
+                self.add_violation(f"{run_id} told ran, ran {ran} times")
+            if set(reported) == {"not-run"} and ran:
+                self.add_violation(f"{run_id} told not-run, ran {ran} times")
+            last = reported[-1]
             self.counts[f"keys ended {last}"] += 1
 
 
@@ -221,8 +221,8 @@
     def _keyed(self, rng: random.Random, name: str) -> None:
         key = name
         if rng.random() < 0.4:
-            key = self._issued(rng) or name
-        for _ in range(KEY_TRIES):
+            key = self._fetch_issued_key(rng) or name
+        for _ in range(KEY_ATTEMPTS):
             response = self.call(
                 rng, "/v1/services/s/run", {"id": name}, Idempotency_Key=key
             )
@@ -233,12 +233,12 @@
                     response.read()
                 except (OSError, http.client.HTTPException):
                     outcome = "unknown"
-            self._oracle.tell(name, outcome)
+            self._oracle.record_outcome(name, outcome)
             if outcome == "ran":
                 return
             time.sleep(rng.uniform(0.05, 0.4))
 
-    def _issued(self, rng: random.Random) -> str | None:
+    def _fetch_issued_key(self, rng: random.Random) -> str | None:
         response = self.call(rng, "/v1/keys", None)
         if response is None or response.status != 200:
             return None
@@ -264,8 +264,8 @@
         self._oracle.count(f"whole {outcome}")
         if response.status == 200:
             text = json.loads(data)["choices"][0]["text"]
-            if text != _expected(model, name, 5):
-                self._oracle.violate(f"{name}: a wrong whole answer")
+            if text != _expected_text(model, name, 5):
+                self._oracle.add_violation(f"{name}: a wrong whole answer")
         return None
 
     def _stream(self, rng: random.Random, name: str) -> None:
@@ -292,11 +292,11 @@
             reader.read(response, leave_at)
             if reader.is_done or reader.error:
                 break
-        expected = _expected(model, name, count)
+        expected = _expected_text(model, name, count)
         if reader.is_done and reader.text != expected:
-            self._oracle.violate(f"{name}: looks whole and is not")
+            self._oracle.add_violation(f"{name}: looks whole and is not")
         if not expected.startswith(reader.text):
-            self._oracle.violate(f"{name}: events twice or lost")
+            self._oracle.add_violation(f"{name}: events twice or lost")
         end = "whole" if reader.is_done else "error" if reader.error else "cut"
         return self._oracle.count(f"stream {end}")
 
@@ -321,7 +321,7 @@
                     # Two data lines are two events run into one.
                     fields[name] = fields.get(name, "") + value
                     continue
-                self._take(fields)
+                self._process_event(fields)
                 fields = {}
                 events += 1
                 if events == leave_at:
@@ -330,7 +330,7 @@
             pass
         response.close()
 
-    def _take(self, fields: dict[str, str]) -> None:
+    def _process_event(self, fields: dict[str, str]) -> None:
         self.last = fields.get("id", self.last)
         if "event" in fields:
             self.error = fields["data"]
@@ -341,73 +341,73 @@
             self.text += choice["text"]
 
 
-def _expected(model: str, prompt: str, count: int) -> str:
+def _expected_text(model: str, prompt: str, count: int) -> str:
     words = engine_standin.make_words(f"{model}@v1", prompt, count)
     return "".join(words)
 
 
-class Chaos:
+class FaultInjector:
     """Brings the faults about and takes them back."""
 
     def __init__(self, fleet: processes.Fleet, oracle: Oracle) -> None:
         self._fleet = fleet
         self._oracle = oracle
         self._store: dict[str, Any] = {}
-        self._grown: set[int] = set()
+        self._added_models: set[int] = set()
         self._serial = 0
 
     def run(self, schedule: list[Fault], seconds: float) -> None:
         """Follows a schedule."""
         began = time.monotonic()
-        undo: list[tuple[float, Any]] = []
-        todo = list(schedule)
+        reverts: list[tuple[float, Any]] = []
+        pending = list(schedule)
         while time.monotonic() - began < seconds:
             now = time.monotonic() - began
-            for due, action in [u for u in undo if u[0] <= now]:
-                undo.remove((due, action))
+            for due, action in [u for u in reverts if u[0] <= now]:
+                reverts.remove((due, action))
                 action()
-            while todo and todo[0].at <= now:
-                fault = todo.pop(0)
+            while pending and pending[0].at <= now:
+                fault = pending.pop(0)
                 self._oracle.count(f"fault: {fault.kind}")
-                back = self._bring(fault)
-                if back is not None:
-                    undo.append((now + fault.length, back))
+                revert = self._inject(fault)
+                if revert is not None:
+                    reverts.append((now + fault.length, revert))
             time.sleep(0.05)
-        for _, action in undo:
+        for _, action in reverts:
             action()
         self._set_store(None)
 
-    def _bring(self, fault: Fault) -> Any:
+    def _inject(self, fault: Fault) -> Any:
         what, _, _ = fault.kind.partition(" ")
         name = f"i{fault.target % INSTANCES}"
         match fault.kind.split(" ")[:2]:
             case ["kill", program]:
-                return self._end(f"{program}/{name}", signal.SIGKILL)
+                return self._signal_daemon(f"{program}/{name}", signal.SIGKILL)
             case ["stop", program]:
-                return self._end(f"{program}/{name}", signal.SIGTERM)
+                return self._signal_daemon(f"{program}/{name}", signal.SIGTERM)
             case ["pause", program]:
                 process = self._fleet.processes[f"{program}/{name}"]
                 process.signal(signal.SIGSTOP)
                 return lambda: process.signal(signal.SIGCONT)
         if what == "store":
-            return self._harm_store(fault)
+            return self._inject_store_fault(fault)
         if what == "operators":
-            return self._race(fault)
+            return self._race_operators(fault)
         if what == "service":
-            return self._harm_service(fault)
-        return self._harm_engine(fault)
+            return self._inject_service_fault(fault)
+        return self._inject_engine_fault(fault)
 
-    def _end(self, name: str, number: int) -> Any:
+    def _signal_daemon(self, name: str, number: int) -> Any:
         process = self._fleet.processes[name]
         process.signal(signal.SIGCONT)
         process.signal(number)
         program, _, instance = name.partition("/")
 
-        def back() -> None:
+        def revert() -> None:
             process.popen.wait(timeout=90)
             self._fleet.start_daemon(instance, program)
 
-        return back
+        return revert
 
     def _set_store(self, change: dict[str, Any] | None) -> None:
         self._store = {} if change is None else {**self._store, **change}
@@ -418,27 +418,27 @@
             processes.TOKEN,
         )
 
-    def _harm_store(self, fault: Fault) -> Any:
-        harm = {
+    def _inject_store_fault(self, fault: Fault) -> Any:
+        setting = {
             "store down": ("down", True),
             "store slow": ("delay", 0.4),
             "store loses answers": ("lose", 0.4),
             "store stale": ("stale", 0.5),
             "store skips events": ("skip", 0.5),
         }[fault.kind]
-        self._set_store(dict([harm]))
+        self._set_store(dict([setting]))
 
-        def back() -> None:
-            self._store.pop(harm[0], None)
+        def revert() -> None:
+            self._store.pop(setting[0], None)
             self._set_store({})
 
-        return back
+        return revert
 
     def _set_standin(self, name: str, **values: Any) -> None:
         address = self._fleet.addresses[name]
         processes.fetch("POST", f"http://{address}/standin", values)
 
-    def _harm_service(self, fault: Fault) -> Any:
+    def _inject_service_fault(self, fault: Fault) -> Any:
         name = f"s{fault.target % SERVICES}"
         match fault.kind:
             case "service cut before":
@@ -450,7 +450,7 @@
                 return lambda: self._set_standin(name, delay=0.0)
         return None
 
-    def _harm_engine(self, fault: Fault) -> Any:
+    def _inject_engine_fault(self, fault: Fault) -> Any:
         name = f"e{fault.target % ENGINES}"
         match fault.kind:
             case "engine loses answers":
@@ -470,7 +470,7 @@
         address = self._fleet.addresses[name]
         report = processes.fetch("GET", f"http://{address}/report")
         if report["overcommitted"]:
-            self._oracle.violate(f"{name} overcommitted: {report}")
+            self._oracle.add_violation(f"{name} overcommitted: {report}")
 
     def _restart_engine(self, name: str) -> Any:
         process = self._fleet.processes[name]
@@ -480,15 +480,15 @@
         assert isinstance(args, list)
         return lambda: self._fleet.start(name, *args[2:])
 
-    def _race(self, fault: Fault) -> None:
+    def _race_operators(self, fault: Fault) -> None:
         """Two operators confirm at once; at most one may win."""
         self._serial += 1
         number = self._serial % 4
-        intent = SHRINK if number in self._grown else GROW
+        intent = DELETE_MODEL if number in self._added_models else ADD_MODEL
         text = intent.format(n=number, size=10 + number)
         plans = []
         for n in (fault.target, fault.target + 1):
-            address = self._operators(n)
+            address = self._operators_address(n)
             try:
                 url = f"http://{address}/v1/plans"
                 plans.append(
@@ -511,17 +511,19 @@
         for thread in threads:
             thread.join()
         if all(results):
-            self._oracle.violate("two plans for one change both confirmed")
+            self._oracle.add_violation(
+                "two plans for one change both confirmed"
+            )
         if any(results):
-            self._grown ^= {number}
+            self._added_models ^= {number}
             self._oracle.count("plans confirmed")
 
-    def _operators(self, number: int) -> str:
+    def _operators_address(self, number: int) -> str:
         name = f"control/i{number % INSTANCES}/operators"
         return self._fleet.addresses[name]
 
 
-def _check_models(fleet: processes.Fleet, oracle: Oracle, load: Any) -> None:
+def _check_models(fleet: processes.Fleet, oracle: Oracle, callers: Any) -> None:
     """All models answer through all entries once the faults are over."""
     rng = random.Random(0)
     limit = time.monotonic() + SETTLE_SECONDS
@@ -529,19 +531,19 @@
         streak = 0
         while streak < 10 and time.monotonic() < limit:
             body = {"model": model, "prompt": "end", "max_tokens": 2}
-            response = load.call(rng, "/v1/completions", body)
+            response = callers.call(rng, "/v1/completions", body)
             good = response is not None and response.status == 200
             streak = streak + 1 if good else 0
             if not good:
                 time.sleep(0.2)
         if streak < 10:
-            oracle.violate(f"model {model} did not come back")
+            oracle.add_violation(f"model {model} did not come back")
 
 
 def _check_logs(fleet: processes.Fleet, oracle: Oracle) -> None:
     for line in fleet.log_path.read_text(errors="replace").splitlines():
         if "InvariantError" in line or "level=error" in line:
-            oracle.violate(f"log: {line[:600]}")
+            oracle.add_violation(f"log: {line[:600]}")
 
 
 def _check_runs(fleet: processes.Fleet, oracle: Oracle) -> None:
@@ -578,24 +580,24 @@
         fleet.apply("i0", INTENT)
         for n in range(INSTANCES):
             fleet.wait_ready(f"i{n}", 3)
-        load = Callers(fleet, oracle, seed)
-        chaos = Chaos(fleet, oracle)
-        load.start()
-        chaos.run(
+        callers = Callers(fleet, oracle, seed)
+        injector = FaultInjector(fleet, oracle)
+        callers.start()
+        injector.run(
             make_schedule(args.seconds, random.Random(seed)), args.seconds
         )
         time.sleep(2.0)
-        load.stop()
-        _check_models(fleet, oracle, load)
+        callers.stop()
+        _check_models(fleet, oracle, callers)
         for n in range(ENGINES):
-            chaos.check_engine(f"e{n}")
+            injector.check_engine(f"e{n}")
         _check_runs(fleet, oracle)
         _check_logs(fleet, oracle)
         if args.keep_log:
             pathlib.Path(args.keep_log).write_bytes(fleet.log_path.read_bytes())
     for name, count in sorted(oracle.counts.items()):
         print(f"{name}: {count}")
-    for text in oracle.violations[:_SHOWN]:
+    for text in oracle.violations[:_MAX_SHOWN_VIOLATIONS]:
         print(f"VIOLATION {text}")
     print(f"violations: {len(oracle.violations)}")
     return 1 if oracle.violations else 0
--- a/tests/replays/test_spread.py
+++ b/tests/replays/test_spread.py
@@ -24,26 +24,26 @@
 
 
 @pytest.mark.parametrize("copies", [2, 4, 8])
-def test_old_word_of_load_floods_no_copy(copies):
+def test_stale_load_overloads_no_copy(copies):
     load = dataclasses.replace(BUSY, copies=copies)
-    results = [spread.play(load, seed) for seed in (1, 2, 3)]
+    results = [spread.replay(load, seed) for seed in (1, 2, 3)]
     assert all(r.late < 0.03 for r in results), results
 
 
-def test_strict_choice_floods_copies_under_the_same_load():
+def test_strict_minimum_overloads_copies_under_same_load():
     load = dataclasses.replace(BUSY, spreads=False)
-    results = [spread.play(load, seed) for seed in (1, 2, 3)]
+    results = [spread.replay(load, seed) for seed in (1, 2, 3)]
     assert all(r.late > 0.1 for r in results), results
 
 
-def test_small_fleet_with_fresh_word_loses_nothing():
-    few = spread.Settings(instances=6, report=0.25, copies=3)
+def test_small_fleet_with_fresh_load_is_not_slower():
+    few = spread.Settings(instances=6, report_seconds=0.25, copies=3)
     for seed in (1, 2, 3):
-        strict = spread.play(dataclasses.replace(few, spreads=False), seed)
-        assert spread.play(few, seed).mean < strict.mean * 1.05
+        strict = spread.replay(dataclasses.replace(few, spreads=False), seed)
+        assert spread.replay(few, seed).mean < strict.mean * 1.05
 
 
-def test_shares_pour_what_comes_over_the_lowest():
+def test_split_load_fills_the_lowest_costs_first():
     shares = load_spreading.split_load([0.0, 0.1, 1.0], 0.5)
     assert shares == pytest.approx([0.6, 0.4, 0.0])
     assert load_spreading.split_load([0.2, 0.1], 0.0) == [0.0, 1.0]
@@ -59,7 +59,7 @@
     assert load_spreading.draw([1.0, 0.0], 1.0) == 0
 
 
-def test_little_work_leaves_the_choice_to_what_is_cached():
+def test_little_unseen_work_keeps_the_cached_endpoint():
     cached = selection.Candidate("a", reading=0.02, in_flight=1, slots=8)
     other = selection.Candidate("b", reading=0.12, slots=8)
     for draw in (0.0, 0.5, 0.99):
--- a/tests/test_run_local.py
+++ b/tests/test_run_local.py
@@ -46,7 +46,7 @@
     return process
 
 
-def test_engines_outlast_the_instances(tmp_path):
+def test_engines_are_stopped_after_instances(tmp_path):
     engine = _start(_ENGINE, tmp_path / "engine")
     instance = _start(_INSTANCE, tmp_path / "engine", tmp_path / "seen")
     run_local.stop([engine], [instance])
@@ -56,28 +56,30 @@
 
 def _run(answers):
     """Returns a stand-in for wayslipctl that gives one answer after another."""
-    left = iter(answers)
+    remaining = iter(answers)
 
     def run(*args):
-        code, out = next(left)
+        code, out = next(remaining)
         return subprocess.CompletedProcess(args, code, out, "")
 
     return run
 
 
-def test_refused_command_says_why():
+def test_refused_command_reports_reason():
     refused = json.dumps({"error": "no quorum", "remedy": "wait"})
     with pytest.raises(SystemExit, match="no quorum"):
-        run_local.apply_models(_run([(1, refused)] * 3), tries=3, pause=0.0)
+        run_local.apply_models(
+            _run([(1, refused)] * 3), attempts=3, pause_seconds=0.0
+        )
 
 
-def test_command_that_came_too_early_is_repeated():
+def test_command_refused_at_startup_is_retried():
     refused = (1, "the list of members is not known yet")
     run = _run([refused, (0, json.dumps({"id": "p1"}))])
-    assert run_local.apply_models(run, tries=3, pause=0.0) == "p1"
+    assert run_local.apply_models(run, attempts=3, pause_seconds=0.0) == "p1"
 
 
-def test_second_signal_does_not_break_the_end_off():
+def test_second_signal_does_not_interrupt_cleanup():
     # SIGTERM to the group comes twice, once more from make. The second came
     # before it was ignored, raised amid the clean-up, and left all processes:
     #
