--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; each script prints a table."""
+"""Benchmarks; each script prints a table."""
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,10 +1,12 @@
-"""Compares routing and admission policies on stretches of arrivals.
+"""Compares routing and admission policies under simulated load scenarios.
 
-    python -m bench.decisions [--seeds 5] [--seconds 120] [--users both]
+    python -m bench.decisions [--seeds 5] [--seconds 60]
+        [--users authority,association]
 
-The decision code is the product's own; engines are the fake of bench/fake.py.
-Prints attainment (share of requests with the first token within target),
-for all and for dispatch, delays, and processor time a decision.
+The decisions are made by the production code; engines are simulated by
+bench/fake.py. Prints attainment (share of requests with the first token within
+the target) for all requests and for the dispatch class, delays, and the
+elapsed time per decision.
 """
 
 import argparse
@@ -27,7 +29,7 @@
     "predicted",
 )
 USERS = {
-    # Engines of the language pool, models, requests a second when busy.
+    # Engines of the language pool, models, requests per second at peak.
     "authority": (6, 26, 33.0),
     "association": (9, 39, 50.0),
 }
@@ -36,7 +38,7 @@
 
 
 class Entry:
-    """One entry's soft view, kept with the product's own classes."""
+    """One entry's view of the engines, kept by the production classes."""
 
     def __init__(self, pool: fake.Pool, policy: str, seed: int) -> None:
         self._pool = pool
@@ -82,7 +84,7 @@
         at, running, waiting = self._pool.reports.get(name, (0.0, 0, 0))
         sent = [s for s in self._sent.get(name, ()) if s.at > at]
         self._sent[name] = sent
-        # Peers tell what they sent with a lag of a poll period.
+        # Peers report what they sent with a delay of half a report interval.
         reported_until = self._pool.clock.now - fake.REPORT_LAG_SECONDS / 2
         reported = [
             s
@@ -131,7 +133,7 @@
 def run(
     user: str, scenario: str, policy: str, admit: str, seed: int, seconds: float
 ) -> tuple[fake.Result, float]:
-    """Returns the result of one stretch and microseconds a decision."""
+    """Returns the result of one scenario and the microseconds per decision."""
     engines, models, busy = USERS[user]
     rates = {"quiet": 0.3, "rush": 1.0, "burst": 0.7, "death": 0.7}
     rate = busy * rates.get(scenario, 3.0)
@@ -139,7 +141,7 @@
     clock = fake.Clock()
     names = [f"e{n}" for n in range(engines)]
     pool = fake.Pool(names, clock)
-    # Every model on three engines, as a placement with replicas would.
+    # Each model is on three engines, as in a placement with replicas.
     for n in range(models):
         for k in range(3):
             pool.engines[names[(n + k * 2) % engines]].resident.add(f"m{n}")
@@ -196,7 +198,7 @@
 
 
 def main() -> None:
-    """Prints a table for each user and stretch."""
+    """Prints a row for each user, scenario and pair of policies."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=5)
     parser.add_argument("--first-seed", type=int, default=1)
--- a/bench/fake.py
+++ b/bench/fake.py
@@ -1,8 +1,8 @@
-"""A small fake of engines for measuring decisions; it models no network.
+"""Event-driven simulation of engines for benchmarks of decisions.
 
-Each engine has a running batch, a queue, a bounded prefix cache, reports that
-lag, and loads at the weight store's rate. Time is event driven. What it leaves
-out is listed in docs/design/measuring-decisions.md.
+Each engine has a running batch, a queue, a bounded prefix cache, and reports
+that arrive with a delay. The network is not simulated. The other limits of the
+simulation are listed in docs/design/measuring-decisions.md.
 """
 
 import collections
@@ -19,9 +19,10 @@
 
     Attributes:
         prompt: Block hashes of its prompt.
-        tokens: Prompt length.
-        output: Tokens it generates.
-        target: Seconds to the first token that count as attained.
+        tokens: Prompt length, tokens.
+        output: Length of its output, tokens.
+        target: Longest time to the first token that counts as attained,
+            seconds.
     """
 
     id: int
@@ -35,24 +36,26 @@
 
     @property
     def rank(self) -> int:
-        """The class's rank, as in the default settings."""
+        """The rank of the request class, as in the default settings."""
         return 0 if self.priority == "dispatch" else 1
 
 
 BLOCK_TOKENS = 64
 CACHE_BLOCKS = 3000
+# Tokens per second.
 PREFILL_RATE = 8000.0
 CHUNK_TOKENS = 512
 STEP_SECONDS = 0.025
-# Each running request makes a step this much longer.
+# Added to the duration of a step for each running request.
 STEP_SECONDS_PER_REQUEST = 0.0006
 SLOTS = 32
+# Reports are taken at this interval and arrive after half of it.
 REPORT_LAG_SECONDS = 0.5
 
 
 @dataclasses.dataclass
 class _QueuedJob:
-    """A job in an engine's queue; left is prefill still to do."""
+    """A job in an engine's queue, with the prefill tokens that remain."""
 
     job: Job
     on_end: Any
@@ -61,14 +64,14 @@
 
 
 class Engine:
-    """An engine: one prefill at a time, lower ranks first, then a batch."""
+    """An engine: prefills one chunk at a time, lower ranks first."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.is_dead = False
         self.running = 0
         self.is_prefilling = False
-        # Rank, number, job and what to call at its end.
+        # Heap of rank, job id and queued job.
         self.queue: list[Any] = []
         self.cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
@@ -77,11 +80,11 @@
 
     @property
     def waiting_tokens(self) -> int:
-        """Prefill of the requests in the queue."""
+        """Prefill tokens of the requests in the queue."""
         return sum(entry.tokens_left for _, _, entry in self.queue)
 
     def cached(self, job: Job) -> int:
-        """Tokens of a prompt that the cache holds."""
+        """Returns how many tokens of a job's prompt are cached."""
         length = 0
         for block in job.prompt:
             if block not in self.cache:
@@ -90,7 +93,7 @@
         return length * BLOCK_TOKENS
 
     def cache_prompt(self, job: Job) -> None:
-        """Puts a prompt into the cache; the oldest blocks go."""
+        """Adds a prompt to the cache; evicts the least recently used blocks."""
         for block in job.prompt:
             self.cache[block] = None
             self.cache.move_to_end(block)
@@ -100,7 +103,15 @@
 
 @dataclasses.dataclass
 class Result:
-    """What came of a run."""
+    """The result of a run.
+
+    Attributes:
+        first: Times to the first token by priority, seconds.
+        gaps: Seconds between the tokens of each request.
+        attained: Requests with the first token within target, by priority.
+        arrived: Requests by priority.
+        refused: Requests that admission refused, by priority.
+    """
 
     first: dict[str, list[float]] = dataclasses.field(default_factory=dict)
     gaps: list[float] = dataclasses.field(default_factory=list)
@@ -117,7 +128,7 @@
 
 
 class Clock:
-    """Events in order of time."""
+    """Runs events in the order of simulated time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -125,7 +136,7 @@
         self._numbers = itertools.count()
 
     def add(self, at: float, action: Any) -> None:
-        """Has an action run at a time."""
+        """Schedules an action."""
         heapq.heappush(self._events, (at, next(self._numbers), action))
 
     def run(self, until: float) -> None:
@@ -137,7 +148,7 @@
 
 
 class Pool:
-    """Engines that serve jobs, and what their entries were told of them."""
+    """Engines that serve jobs, and their last reports to the entries."""
 
     def __init__(self, names: list[str], clock: Clock) -> None:
         self.clock = clock
@@ -159,7 +170,7 @@
         self.clock.add(self.clock.now + REPORT_LAG_SECONDS, self._report)
 
     def submit(self, engine: Engine, job: Job, on_end: Any) -> None:
-        """Hands a job to an engine."""
+        """Adds a job to an engine's queue."""
         uncached = max(job.tokens - engine.cached(job), 1)
         entry = _QueuedJob(job, on_end, uncached)
         heapq.heappush(engine.queue, (job.rank, job.id, entry))
@@ -187,7 +198,8 @@
     def _prefilled(self, engine: Engine, entry: "_QueuedJob") -> None:
         engine.is_prefilling = False
         if entry.tokens_left:
-            # Another request of a lower rank may go first now.
+            # Requeued between chunks, so that a request of a lower rank that
+            # has arrived meanwhile goes first.
             job = entry.job
             heapq.heappush(engine.queue, (job.rank, job.id, entry))
         else:
@@ -215,7 +227,7 @@
             result.attained[job.priority] += 1
 
     def kill(self, name: str) -> list[Any]:
-        """Ends an engine; returns the jobs that waited there."""
+        """Crashes an engine; returns the jobs of its queue."""
         engine = self.engines[name]
         engine.is_dead = True
         lost = [(entry.job, entry.on_end) for _, _, entry in engine.queue]
@@ -227,12 +239,20 @@
 
 @dataclasses.dataclass(frozen=True)
 class Workload:
-    """Arrivals of a stretch.
+    """Arrivals of a scenario.
 
     Attributes:
-        rate: Requests a second at the start.
-        models: Number of models; low numbers are asked for most.
-        burst: At this time some models' demand is ten times as high.
+        rate: Requests per second outside the burst.
+        models: Number of models; low numbers have the highest demand.
+        seconds: Duration of the arrivals.
+        burst: Start of the burst, seconds; no burst if 0. It lasts for a
+            quarter of the duration and raises the rate by a factor of 1.6.
+        burst_factor: Factor on the demand for a tenth of the models during
+            the burst.
+        dispatch_share: Share of requests of the dispatch class.
+        follow_up_share: Probability that a request continues an earlier
+            conversation of its model, if there is one.
+        shared_prefixes: Number of system prompts for each model.
     """
 
     rate: float
@@ -246,7 +266,7 @@
 
 
 def make_jobs(workload: Workload, seed: int) -> list[Job]:
-    """Returns the arrivals of a stretch, by seed."""
+    """Returns the arrivals of a scenario for a seed."""
     rng = random.Random(seed)
     jobs = []
     at = 0.0
@@ -293,7 +313,8 @@
     )
     earlier = [j for j in history if j.model == model]
     if earlier and rng.random() < workload.follow_up_share:
-        # The next turn of a conversation carries the whole of the last.
+        # The next turn of a conversation starts with the previous prompt, of
+        # which at most 60 blocks are kept.
         return rng.choice(earlier).prompt[:60] + fresh
     shared = random.Random(f"{model}-{rng.randrange(workload.shared_prefixes)}")
     system = tuple(shared.getrandbits(60) for _ in range(12))
--- a/bench/gateway.py
+++ b/bench/gateway.py
@@ -1,9 +1,9 @@
-"""What the gateway's decisions and messages cost at several sizes.
+"""Measures the cost of the gateway's decisions and messages by fleet size.
 
 Usage:
   python -m bench.gateway
 
-Prints processor time a decision and bytes a datagram; single-threaded.
+Prints processor time per decision and bytes per datagram; single-threaded.
 """
 
 import random
@@ -16,18 +16,18 @@
 from wayslip.gateway import datagrams
 from wayslip.gateway import facts
 
-# Engines and models: three sizes of the users' deployments, one of 300 engines,
-# and a data hall of the size of two years from now.
+# Engines and models: three sizes of existing deployments, one of 300 engines,
+# and a data hall of the size forecast for two years from now.
 SIZES = ((6, 26), (59, 213), (117, 213), (300, 213), (1_200, 290))
-# The load that one engine gets on the users' largest deployment: requests a
-# second and the seconds that it takes to read the prompt of one.
+# The load of one engine in the largest existing deployment: requests per second
+# and the prefill time of a request.
 _REQUESTS_PER_SECOND = 4.1
 _PREFILL_SECONDS = 0.12
 _MEASURE_SECONDS = 0.5
 
 
 def measure(work):
-    """Returns the seconds of processor time that one call takes."""
+    """Returns the processor time of one call, seconds."""
     count = 0
     began = time.process_time()
     while time.process_time() - began < _MEASURE_SECONDS:
@@ -37,7 +37,7 @@
 
 
 def make_pool(models):
-    """Returns a pool of equal models."""
+    """Returns a pool of models that differ only in name."""
     found = {
         f"m{n}": manifest.Model(f"m{n}", 70_000.0, 60.0, ("a1",), 9.0, 2.0, 0.8)
         for n in range(models)
@@ -46,9 +46,10 @@
 
 
 def make_demand(engines, models, busy_models):
-    """Returns demand that the busy ones of the models share, as 1 to rank.
+    """Returns the demand for each model.
 
-    The others are asked for once in ten seconds each.
+    The demand for the busy models is inversely proportional to their rank; each
+    other model gets one request in ten seconds.
     """
     total = sum(1 / (1 + n) for n in range(busy_models))
     found = {}
@@ -61,7 +62,7 @@
 
 
 def make_engines(engines, models, rng):
-    """Returns engines with three models each."""
+    """Returns engines that hold three models each."""
     names = [f"m{n}" for n in range(models)]
     return {
         f"i-{n:08x}": copies.Engine(
@@ -77,7 +78,7 @@
 
 
 def make_state(engines):
-    """Returns a statement of the planner with some work everywhere."""
+    """Returns a state update of the planner with work at all engines."""
     names = [f"i-{n:08x}" for n in range(engines)]
     return facts.State(
         1,
--- a/bench/leaving.py
+++ b/bench/leaving.py
@@ -1,10 +1,10 @@
-"""Time from an engine's first sign of leaving until no entry uses it.
+"""Measures the time from an engine's drain until all entries stop using it.
 
     python -m bench.leaving [--instances 5] [--times 10]
 
-Real processes with the default poll of half a second, once with the object
-API up and once down. The engine drains; the time is until every entry's dump
-calls it leaving.
+Runs real processes with the default poll interval of 0.5 s, first with the
+object API up and then down. The engine starts to drain; the time ends when the
+state of every entry shows the engine as leaving.
 """
 
 import argparse
@@ -67,7 +67,7 @@
     seconds = time.monotonic() - began
     _set_state(fleet, "serving")
     processes.wait_until(
-        lambda: not any(_is_leaving(fleet, n) for n in names), "e0 is back"
+        lambda: not any(_is_leaving(fleet, n) for n in names), "e0 serves again"
     )
     return seconds
 
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins and daemons as processes for a measurement or a soak."""
+"""Starts stand-ins and daemons as processes for benchmarks and soak tests."""
 
 import contextlib
 import json
@@ -27,7 +27,7 @@
 def fetch(
     method: str, url: str, body: Any = None, key: str = OPERATOR_KEY
 ) -> Any:
-    """Returns the JSON answer of a call; fails for an error status."""
+    """Returns the JSON answer of a call; raises for an error status."""
     data = body
     if body is not None and not isinstance(body, bytes):
         data = json.dumps(body).encode()
@@ -39,7 +39,7 @@
 
 
 def wait_until(condition: Any, what: str) -> None:
-    """Waits until a condition holds without an error."""
+    """Waits until a condition holds; its I/O errors count as not yet."""
     limit = time.monotonic() + _START_SECONDS
     while True:
         try:
@@ -48,12 +48,12 @@
         except (urllib3.exceptions.HTTPError, OSError, RuntimeError):
             pass
         if time.monotonic() > limit:
-            raise RuntimeError(f"never came true: {what}")
+            raise RuntimeError(f"timed out waiting for: {what}")
         time.sleep(0.05)
 
 
 class Process:
-    """A process of ours, with its cost as the system accounts for it."""
+    """A child process, with its processor time and memory from /proc."""
 
     def __init__(self, name: str, args: list[str], log: Any) -> None:
         self.name = name
@@ -68,31 +68,31 @@
 
     @property
     def cpu_seconds(self) -> float:
-        """Processor time so far, user and system."""
+        """User and system processor time since the process started."""
         text = pathlib.Path(f"/proc/{self.popen.pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
     @property
     def memory_mib(self) -> float:
-        """Resident memory now."""
+        """Current resident memory."""
         text = pathlib.Path(f"/proc/{self.popen.pid}/status").read_text()
         line = next(x for x in text.splitlines() if x.startswith("VmRSS"))
         return int(line.split()[1]) / 1024
 
     @property
     def is_running(self) -> bool:
-        """Whether it has not ended."""
+        """Whether the process has not exited."""
         return self.popen.poll() is None
 
     def signal(self, number: int) -> None:
-        """Sends a signal."""
+        """Sends a signal, unless the process has exited."""
         if self.is_running:
             self.popen.send_signal(number)
 
 
 class Fleet:
-    """Stand-ins and instances as processes; stop them by `with`."""
+    """Stand-ins and instances as processes; kills them on context exit."""
 
     def __init__(self, sections: dict[str, Any] | None = None) -> None:
         self._sections = sections or {}
@@ -126,18 +126,18 @@
 
     @property
     def log_path(self) -> pathlib.Path:
-        """Where all processes log to."""
+        """The file with the logs of all processes."""
         return pathlib.Path(self._dir.name) / "log"
 
     def start(self, name: str, *args: str) -> Process:
-        """Starts a process under a name, instead of an ended one."""
+        """Starts a process; it replaces an exited one of the same name."""
         self.processes[name] = Process(name, list(args), self.log)
         return self.processes[name]
 
     # Stand-ins
 
     def start_engine(self, name: str, capacity: int, *args: str) -> None:
-        """Starts an engine and puts it on the platform's list."""
+        """Starts an engine and adds it to the platform's list of endpoints."""
         port = ports.find_free()
         self.addresses[name] = f"127.0.0.1:{port}"
         self.start(
@@ -154,7 +154,7 @@
         )
 
     def start_service(self, name: str, *args: str) -> None:
-        """Starts a service and puts it on the platform's list."""
+        """Starts a service and adds it to the platform's list of endpoints."""
         port = ports.find_free()
         self.addresses[name] = f"127.0.0.1:{port}"
         self.start(name, "standins.service", "--port", str(port), *args)
@@ -168,7 +168,7 @@
         phase: str = "live",
         checks_fence: bool = True,
     ) -> None:
-        """Puts an endpoint on the platform's list."""
+        """Adds or replaces an endpoint in the platform's list."""
         spec = {
             "name": name,
             "role": role,
@@ -257,7 +257,7 @@
         return "\n".join(lines) + "\n"
 
     def apply(self, instance: str, intent: str) -> str:
-        """Applies an intent and waits until its plan is done."""
+        """Applies an intent file's text and waits until its plan is done."""
         address = self.addresses[f"control/{instance}/operators"]
         url = f"http://{address}/v1/plans"
         plan = ""
@@ -278,7 +278,12 @@
         return plan
 
     def wait_ready(self, instance: str, models: int) -> None:
-        """Waits until an entry answers for some number of models."""
+        """Waits until an entry knows of enough resident models.
+
+        Args:
+            instance: The entry's instance.
+            models: Least number of resident models, summed over the engines.
+        """
         address = self.addresses[f"entry/{instance}/operators"]
 
         def is_ready() -> bool:
--- a/bench/propagation.py
+++ b/bench/propagation.py
@@ -1,11 +1,12 @@
-"""Time until a confirmed configuration is in force on all daemons.
+"""Measures how long a confirmed configuration takes to reach all daemons.
 
     python -m bench.propagation [--instances 5,15,40] [--changes 10]
 
-Real processes; the times are those of their own logs, from the moment the
-confirming control has it in force, which is when the object API accepted it,
-to each daemon's `configuration_in_force`. Also prints what the daemons cost
-when nothing happens: processor time, memory and gossip bytes a second.
+Runs real processes and reads the times from their logs. A delay starts when
+the first daemon logs `configuration_in_force` for a generation, which is the
+control daemon that confirmed it, once the object API has accepted it. It ends
+when another daemon logs the same event. Also prints the idle cost of the
+daemons: processor time, memory, and gossip bytes per second.
 """
 
 import argparse
@@ -54,7 +55,8 @@
             lambda: len(_read_delays(fleet).get(1, [])) == daemons,
             "all daemons joined",
         )
-        # The news of joining has to die down first.
+        # The updates of the joining members would count as idle cost; they
+        # have been disseminated after this time.
         time.sleep(8)
         idle, memory, sent = _measure_idle(fleet)
         for n in range(changes):
@@ -73,7 +75,7 @@
 
 
 def _read_delays(fleet: processes.Fleet) -> dict[int, list[float]]:
-    """Returns for each generation the seconds until each daemon had it."""
+    """Returns the delays of the daemons by generation, seconds."""
     reached: dict[int, list[float]] = {}
     for line in fleet.log_path.read_text(errors="replace").splitlines():
         match = _LINE.match(line)
@@ -89,7 +91,11 @@
 def _measure_idle(
     fleet: processes.Fleet, seconds: float = 5.0
 ) -> tuple[float, float, float]:
-    """Returns ms of processor a second, MiB, and bytes sent a second."""
+    """Returns processor ms per second, MiB, and gossip bytes per second.
+
+    Processor time and memory are means over the daemons; the gossip bytes are
+    those of one entry.
+    """
     daemons = [p for n, p in fleet.processes.items() if "/" in n]
     before = [p.cpu_seconds for p in daemons]
     bytes_before = _read_bytes(fleet)
@@ -101,7 +107,7 @@
 
 
 def _read_bytes(fleet: processes.Fleet) -> float:
-    """Returns the gossip bytes that one entry has sent."""
+    """Returns the gossip bytes that the entry of i0 has sent."""
     address = fleet.addresses["entry/i0/operators"]
     answer = urllib3.request(
         "GET",
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,9 +1,10 @@
-"""Cost of relaying streams: processor time a token, delays, memory.
+"""Measures the cost of relaying streams: processor time, delays, memory.
 
     python -m bench.relay [--streams 100,300,560] [--seconds 8]
 
 One entry relays between client processes and engine stand-ins that emit a
-token every 62 ms; the direct path, clients to engines, runs beside it.
+token every 62 ms. For comparison, the clients also call the engines directly
+before each run.
 """
 
 import argparse
@@ -18,7 +19,8 @@
 STEP_SECONDS = 0.062
 ENGINES = 4
 CLIENTS = 4
-# New streams a second; the two-year peak is 21 for each entry.
+# Streams are opened at this rate; the forecast peak of each entry in two years
+# is 21 per second.
 STREAMS_PER_SECOND = 40
 _INTENT = """
 [[pools]]
@@ -98,8 +100,9 @@
         )
         for address in addresses
     ]
-    # All streams have begun after their spread and a second for the clients'
-    # own start; the cost of a token is taken from then until the first ends.
+    # The clients get 1.5 s to start, besides the time in which they open the
+    # streams. The cost of a token is measured after that, until one second
+    # before the first streams end, but for at least one second.
     time.sleep(streams / STREAMS_PER_SECOND + 1.5)
     before, measured_from = (
         entry.cpu_seconds if entry else 0.0,
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,9 +1,10 @@
-"""Cost of the parts of control by size: the slopes of docs/CAPACITY.md.
+"""Measures how the cost of each part of the control plane grows with size.
 
     python -m bench.slopes [SECTION ...]
 
-Each section prints its figure at three sizes or more. Times are processor
-time of this machine; sizes are bytes on the wire or in the store.
+docs/CAPACITY.md uses the results. Each section measures three sizes or more.
+Times are processor time of this machine; sizes are bytes on the wire or in the
+store.
 """
 
 import collections
@@ -33,7 +34,12 @@
 
 
 def measure_cpu(action: Any, min_seconds: float = 0.3) -> float:
-    """Returns the processor seconds of one call of an action."""
+    """Returns the processor time of one call of an action, seconds.
+
+    Args:
+        action: Called repeatedly.
+        min_seconds: Processor time of all calls together, at least.
+    """
     count = 1
     while True:
         began = time.process_time()
@@ -49,10 +55,11 @@
 
 
 class Fleet:
-    """Memberships whose messages arrive at once; time is given."""
+    """Memberships in simulated time whose messages arrive without delay."""
 
     def __init__(self, size: int, seed: int = 1, seeds: int = 0) -> None:
-        # Addresses whose messages to other groups are lost.
+        # Addresses on one side of a network partition; messages between the
+        # sides are lost.
         self.parted: set[str] = set()
         self.nodes: dict[str, membership.Membership] = {}
         self.now = 0.0
@@ -71,12 +78,12 @@
                 member, known, 0.5, 2.0, rng
             )
         for node in self.nodes.values():
-            # All know all, and there is no news left to spread.
+            # All members know each other, and no update is left to send.
             node._members.update((m.name, m) for m in first)
             node._sends_left.clear()
 
     def tick(self, seconds: float = 0.1) -> None:
-        """Lets some time pass for all."""
+        """Advances the time of all members."""
         self.now += seconds
         for address, node in list(self.nodes.items()):
             self._deliver(address, node.tick(self.now))
@@ -100,7 +107,7 @@
 
 @SECTIONS.register("membership")
 def measure_membership() -> None:
-    """Messages and time a member and second, and how news spreads."""
+    """Measures messages, processor time and dissemination delays."""
     print("membership: members us/member/s msgs/member/s spread_s death_s")
     for size in (18, 100, 400, 1600):
         fleet = Fleet(size)
@@ -142,7 +149,7 @@
 
 
 def _measure_dissemination(fleet: Fleet) -> float:
-    """Seconds until all know of a member's leaving."""
+    """Returns the seconds until all know that a member leaves, at most 60."""
     leaving_node = next(iter(fleet.nodes.values()))
     name = leaving_node.me.name
     leaving_node.leave()
@@ -161,7 +168,10 @@
 
 
 def _measure_failure_detection(fleet: Fleet) -> float:
-    """Seconds until all know that a silent member is dead."""
+    """Returns the seconds until all know that a member is dead, at most 60.
+
+    The member is removed without notice and stops answering.
+    """
     address, failed = next(reversed(fleet.nodes.items()))
     del fleet.nodes[address]
     began = fleet.now
@@ -184,7 +194,7 @@
 def make_configuration(
     models: int, engines: int
 ) -> configuration.Configuration:
-    """Returns a configuration of some size."""
+    """Returns a configuration with this number of models and engines."""
     names = tuple(f"engine-{n}" for n in range(engines))
     values: list[configuration.Value] = [configuration.Pool("p", names)]
     for n in range(models):
@@ -205,7 +215,7 @@
 
 @SECTIONS.register("configuration")
 def measure_configuration() -> None:
-    """Size and cost of the whole, and of one change."""
+    """Measures a whole configuration and the delta of one change."""
     print(
         "configuration: models engines bytes change_bytes merge_ms catalog_ms"
     )
@@ -231,7 +241,7 @@
 
 @SECTIONS.register("ledger")
 def measure_ledger() -> None:
-    """Size of a ledger, and cost of a report and of an order."""
+    """Measures the size of a ledger and the cost of a report and an order."""
     print("ledger: items bytes observe_us begin_us")
     for items in (4, 12, 40):
         held = ledger.Ledger("engine-1", 10**6, True, boot=1)
@@ -255,7 +265,7 @@
 
 @SECTIONS.register("routing")
 def measure_routing() -> None:
-    """Cost of a decision over many engines, and memory of the prefix index."""
+    """Measures the cost of a decision and the memory of the prefix index."""
     print("routing: candidates decision_us")
     rng = random.Random(1)
     for count in (6, 100, 1000, 12000):
@@ -286,7 +296,7 @@
 
 @SECTIONS.register("journal")
 def measure_journal() -> None:
-    """Bytes a key, and cost of one write of a slot."""
+    """Measures the bytes per record and the cost of encoding a segment."""
     print("journal: records bytes bytes/record write_ms")
     for count in (10, 100, 1000):
         segment = journal.Segment(0)
@@ -313,7 +323,7 @@
 
 @SECTIONS.register("placement")
 def measure_placement() -> None:
-    """Cost of placing all models of a pool on its engines."""
+    """Measures the placement of all models of a pool on its engines."""
     print("placement: models engines ms")
     for models, engines in ((26, 6), (100, 100), (290, 400)):
         whole = make_configuration(models, engines)
@@ -333,7 +343,7 @@
 
 
 def main() -> None:
-    """Runs the sections that are named, or all."""
+    """Runs the sections given as arguments, or all."""
     for name in sys.argv[1:] or list(SECTIONS):
         SECTIONS.get(name)()
 
--- a/bench/stream_client.py
+++ b/bench/stream_client.py
@@ -1,7 +1,7 @@
-"""Opens many streams from one thread and prints when their events came.
+"""Opens many streams from one thread and prints the delays of their events.
 
-Used by bench/relay.py, as a process of its own, so that its cost is not the
-relay's.
+bench/relay.py runs it as a separate process, so that its cost does not count
+as cost of the relay.
 """
 
 import argparse
@@ -13,7 +13,7 @@
 
 
 class Reader:
-    """One stream: when it was asked for and when its events came."""
+    """Measures the delays of the events of one stream."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
@@ -25,14 +25,15 @@
         self.tail = b""
 
     def feed(self, data: bytes) -> bool:
-        """Notes the events in some bytes; returns whether it was the end."""
+        """Records the events in the data; returns whether the stream ended."""
         now = time.monotonic()
         text = self.tail + data
         count = text.count(b'"choices"')
         self.tail = text[-20:] if b'"choices"' not in text[-20:] else b""
         if count:
             if self.events:
-                # Several at once: one waited, the others came with it.
+                # Events that arrive together: the first one has the whole
+                # gap, the others none.
                 self.gaps.append(now - self.last_event_at)
                 self.gaps += [0.0] * (count - 1)
             else:
