--- a/scripts/fuzz_ledger.py
+++ b/scripts/fuzz_ledger.py
@@ -1,7 +1,7 @@
-"""Long random walk of the ledger against true memory.
+"""Fuzzes the ledger by a random walk against simulated engine memory.
 
-Run `python scripts/fuzz_ledger.py --steps 1000000 --seed 1`; it prints its
-seed, and fails with the step at which memory was overcommitted.
+Run `python scripts/fuzz_ledger.py --steps 1000000 --seed 1`. It prints its
+seed, and fails at the step at which memory is overcommitted.
 """
 
 import argparse
@@ -18,7 +18,7 @@
 
 
 def main() -> None:
-    """Runs the walk."""
+    """Runs the random walk with and without fence checks."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--steps", type=int, default=1_000_000)
     parser.add_argument("--seed", type=int, default=None)
--- a/scripts/run_local.py
+++ b/scripts/run_local.py
@@ -1,8 +1,8 @@
-"""Runs the whole path on this machine: stand-ins and two instances.
+"""Runs a complete local deployment: stand-ins and two instances.
 
-Started by `make run`. It writes the instances' settings, starts every process,
+Started by `make run`. It writes the instances' settings, starts all processes,
 applies examples/models.toml through wayslipctl as an operator would, prints a
-curl line and waits. Ctrl-C or SIGTERM ends all processes by a planned stop.
+curl command and waits. Ctrl-C or SIGTERM stops all processes gracefully.
 """
 
 from collections.abc import Callable
@@ -26,10 +26,12 @@
 CAPACITY = 80_000_000
 DATA_HALLS = ("salt-lake", "howrah-hall", "newtown")
 _STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-# A first command may come before the instances know each other, seconds.
+# Instances refuse commands until they know each other, so the first command is
+# retried.
 _APPLY_ATTEMPTS = 20
 _PAUSE_SECONDS = 0.5
-# Longer than an instance's `drain.finish_seconds`.
+# Longer than an instance's `drain.finish_seconds`, so that the instance can
+# finish its streams before it is killed.
 _STOP_TIMEOUT_SECONDS = 40
 _PREFIX = f"http://127.0.0.1:{OBJECT_PORT}/apis/wayslip.io/v1"
 
@@ -80,7 +82,9 @@
         _print_help()
         while all(p.poll() is None for p in [*stand_ins, *instances]):
             time.sleep(0.5)
-        print("a process ended; see the log above", file=sys.stderr)
+        print(
+            "a process exited unexpectedly; see the log above", file=sys.stderr
+        )
         return 1
     except KeyboardInterrupt:
         return 0
@@ -89,10 +93,10 @@
 
 
 def listen_for_signals() -> None:
-    """Has the first SIGTERM or SIGINT end the script, and later ones ignored.
+    """Stops the script at the first SIGTERM or SIGINT; ignores later ones.
 
-    A group's signal comes twice, once more from make. A second one that
-    interrupts the clean-up would leave processes behind.
+    A signal to the process group arrives twice, because make forwards it too.
+    If the second one interrupted the clean-up, processes would be left running.
     """
     for number in _STOP_SIGNALS:
         signal.signal(number, _raise_interrupt)
@@ -105,7 +109,7 @@
 
 
 def _start(processes: list[subprocess.Popen], *args: str) -> None:
-    # A group of its own, so that Ctrl-C reaches this script only and the
+    # In a session of its own, so that Ctrl-C reaches this script only and the
     # processes are stopped in order.
     env = {**os.environ, "PYTHONPATH": f"{ROOT}/src:{ROOT}"}
     processes.append(
@@ -125,7 +129,7 @@
 
 
 def _put_endpoints() -> None:
-    """Writes the platform's list of endpoints, which is the platform's job."""
+    """Writes the list of endpoints, which the platform does in production."""
     for n, port in enumerate(ENGINE_PORTS, 1):
         _put_endpoint(
             f"engine-{n}", "engine", port, DATA_HALLS[n - 1], CAPACITY
@@ -194,7 +198,7 @@
     confirmed = _run_wayslipctl("confirm", plan, "--wait", "30")
     if confirmed.returncode:
         raise SystemExit(_describe("confirm", confirmed))
-    # The engines now hold the models; the entries hear of it by their polls.
+    # The engines now hold the models; the entries learn of it when they poll.
     ready = "http://127.0.0.1:9180/readyz"
     _retry_until_success(lambda: urllib.request.urlopen(ready, timeout=2))
     time.sleep(1.5)
@@ -216,14 +220,15 @@
     attempts: int = _APPLY_ATTEMPTS,
     pause_seconds: float = _PAUSE_SECONDS,
 ) -> str:
-    """Applies the example's models; returns the plan's id.
+    """Applies examples/models.toml; returns the plan's id.
 
-    Instances that have just started may not know each other yet and refuse.
+    Instances that have just started may not know each other yet and refuse the
+    command, so it is retried.
 
     Args:
-        run: Runs wayslipctl with some arguments.
-        attempts: Times that it is asked.
-        pause_seconds: Between them, seconds.
+        run: Runs wayslipctl with the given arguments.
+        attempts: Maximum number of attempts.
+        pause_seconds: Pause after a failed attempt, seconds.
     """
     models = str(ROOT / "examples" / "models.toml")
     for _ in range(attempts):
@@ -235,15 +240,16 @@
 
 
 def _describe(verb: str, result: subprocess.CompletedProcess[str]) -> str:
-    """Returns why a command failed; with --json it says so on stdout."""
+    """Returns why a command failed; with --json the reason is on stdout."""
     output = f"{result.stderr}\n{result.stdout}".strip()
-    return f"wayslipctl {verb} ended with {result.returncode}: {output}"
+    return f"wayslipctl {verb} exited with {result.returncode}: {output}"
 
 
 def _print_help() -> None:
     print(
         f"""
-wayslip runs. Callers: 127.0.0.1:8080, 8081. Operators: 127.0.0.1:9080, 9081.
+wayslip is running.
+Callers: 127.0.0.1:8080, 8081. Operators: 127.0.0.1:9080, 9081.
 
 curl -N http://127.0.0.1:8080/v1/chat/completions \\
   -H 'Authorization: Bearer {CALLER_KEY}' \\
@@ -261,7 +267,7 @@
 def stop(
     stand_ins: list[subprocess.Popen], instances: list[subprocess.Popen]
 ) -> None:
-    """Ends all processes, those that the instances need after them."""
+    """Stops the instances and then the stand-ins, which the instances need."""
     for group in (instances, stand_ins):
         for process in group:
             process.terminate()
@@ -273,7 +279,7 @@
     try:
         process.wait(timeout=_STOP_TIMEOUT_SECONDS)
     except subprocess.TimeoutExpired:
-        print(f"process {process.pid} is killed: it did not end in time")
+        print(f"killing process {process.pid}: it did not exit in time")
         process.kill()
 
 
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -1,13 +1,14 @@
-"""Real processes over loopback under random faults, checked by oracles.
+"""Soak test of real processes over loopback under random faults.
 
     python scripts/soak.py --seconds 120 [--seed 7]
 
-The schedule of faults follows from the seed, which is printed, so a run can
-be replayed. Callers run streams, whole completions and calls that may not be
-repeated, and retry through other entries. Exit code 1 on any violation:
-a key run twice or told `not-run` although it ran, an answer that looks whole
-and is not, memory overcommitted, an invariant or fault in a log, a model that
-does not come back.
+The fault schedule is derived from the seed, which is printed, so that a run
+can be repeated. Callers send streaming completions, non-streaming completions
+and calls with idempotency keys, and retry through randomly chosen entries. The
+exit code is 1 on any violation: a key that ran twice or was reported as
+`not-run` although it ran, a complete answer with wrong text, overcommitted
+memory, an invariant error or any other error in a log, or a model that does
+not answer after the faults.
 """
 
 import argparse
@@ -85,7 +86,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class Fault:
-    """A fault at a time, seconds after the start."""
+    """A scheduled fault.
+
+    Attributes:
+        at: Seconds after the start.
+        kind: One of FAULTS.
+        target: Number from which the affected process is chosen.
+        length: Seconds until the fault is reverted, if it can be.
+    """
 
     at: float
     kind: str
@@ -116,7 +124,7 @@
 
 
 def make_schedule(seconds: float, rng: random.Random) -> list[Fault]:
-    """Returns the faults of a run; pairs may overlap."""
+    """Returns the faults of a run; they may overlap."""
     schedule = []
     at = 1.0
     while at < seconds:
@@ -128,7 +136,7 @@
 
 
 class Oracle:
-    """What callers were told; compared with the truth at the end."""
+    """Records the outcomes that callers saw and checks them at the end."""
 
     def __init__(self) -> None:
         self.lock = threading.Lock()
@@ -142,32 +150,40 @@
             self.counts[name] += 1
 
     def add_violation(self, text: str) -> None:
-        """Notes a violation."""
+        """Records a violation."""
         with self.lock:
             self.violations.append(text)
 
     def record_outcome(self, run_id: str, outcome: str) -> None:
-        """Notes what a caller was told of a key."""
+        """Records the outcome that a caller received for a run id."""
         with self.lock:
             self.outcomes.setdefault(run_id, []).append(outcome)
             self.counts[f"key {outcome}"] += 1
 
     def check_runs(self, runs: dict[str, int]) -> None:
-        """Compares what callers were told with true executions."""
+        """Compares the reported outcomes with the executions at the services.
+
+        Args:
+            runs: Executions by run id.
+        """
         for run_id, reported in self.outcomes.items():
             ran = runs.get(run_id, 0)
             if ran > 1:
-                self.add_violation(f"{run_id} ran {ran} times, told {reported}")
+                self.add_violation(
+                    f"{run_id} ran {ran} times, reported {reported}"
+                )
             if "ran" in reported and ran != 1:
-                self.add_violation(f"{run_id} told ran, ran {ran} times")
+                self.add_violation(f"{run_id} reported as ran, ran {ran} times")
             if set(reported) == {"not-run"} and ran:
-                self.add_violation(f"{run_id} told not-run, ran {ran} times")
+                self.add_violation(
+                    f"{run_id} reported as not-run, ran {ran} times"
+                )
             last = reported[-1]
             self.counts[f"keys ended {last}"] += 1
 
 
 class Callers:
-    """Load: threads that call, retry and check."""
+    """Load generator: threads that send, retry and check requests."""
 
     def __init__(
         self, fleet: processes.Fleet, oracle: Oracle, seed: int
@@ -183,12 +199,12 @@
         ]
 
     def start(self) -> None:
-        """Starts to call."""
+        """Starts the threads."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Waits until every caller has its last answer."""
+        """Stops the threads; waits until each has its last answer."""
         self.stopping.set()
         for thread in self._threads:
             thread.join(timeout=60)
@@ -204,7 +220,7 @@
     def call(
         self, rng: random.Random, path: str, body: Any, **headers: str
     ) -> http.client.HTTPResponse | None:
-        """Calls a random entry; None when it does not answer."""
+        """Calls a random entry; returns None if it does not answer."""
         entry = f"entry/i{rng.randrange(INSTANCES)}"
         host, _, port = self._fleet.addresses[entry].rpartition(":")
         conn = http.client.HTTPConnection(host, int(port), timeout=8)
@@ -216,7 +232,7 @@
         except (OSError, http.client.HTTPException):
             return None
 
-    # Calls that may not be repeated
+    # Calls with idempotency keys
 
     def _keyed(self, rng: random.Random, name: str) -> None:
         key = name
@@ -265,7 +281,9 @@
         if response.status == 200:
             text = json.loads(data)["choices"][0]["text"]
             if text != _expected_text(model, name, 5):
-                self._oracle.add_violation(f"{name}: a wrong whole answer")
+                self._oracle.add_violation(
+                    f"{name}: completion with wrong text"
+                )
         return None
 
     def _stream(self, rng: random.Random, name: str) -> None:
@@ -294,15 +312,17 @@
                 break
         expected = _expected_text(model, name, count)
         if reader.is_done and reader.text != expected:
-            self._oracle.add_violation(f"{name}: looks whole and is not")
+            self._oracle.add_violation(
+                f"{name}: complete stream with wrong text"
+            )
         if not expected.startswith(reader.text):
-            self._oracle.add_violation(f"{name}: events twice or lost")
+            self._oracle.add_violation(f"{name}: events duplicated or lost")
         end = "whole" if reader.is_done else "error" if reader.error else "cut"
         return self._oracle.count(f"stream {end}")
 
 
 class _Reader:
-    """Reads the events of one stream over several connections."""
+    """Reads the events of one stream, which may span several connections."""
 
     def __init__(self) -> None:
         self.last = ""
@@ -311,14 +331,20 @@
         self.error = ""
 
     def read(self, response: http.client.HTTPResponse, leave_at: int) -> None:
-        """Reads to the end, or hangs up after some events."""
+        """Reads to the end, or closes the connection after some events.
+
+        Args:
+            response: The answer to a request for the stream.
+            leave_at: Number of events after which to close; 0 for never.
+        """
         events = 0
         fields: dict[str, str] = {}
         try:
             while line := response.readline():
                 if line != b"\n":
                     name, _, value = line.decode().rstrip("\n").partition(": ")
-                    # Two data lines are two events run into one.
+                    # Repeated names are joined, so that two events merged
+                    # into one do not pass as a valid event.
                     fields[name] = fields.get(name, "") + value
                     continue
                 self._process_event(fields)
@@ -347,7 +373,7 @@
 
 
 class FaultInjector:
-    """Brings the faults about and takes them back."""
+    """Injects faults and reverts them."""
 
     def __init__(self, fleet: processes.Fleet, oracle: Oracle) -> None:
         self._fleet = fleet
@@ -357,7 +383,7 @@
         self._serial = 0
 
     def run(self, schedule: list[Fault], seconds: float) -> None:
-        """Follows a schedule."""
+        """Runs a schedule; reverts all faults that are left at its end."""
         began = time.monotonic()
         reverts: list[tuple[float, Any]] = []
         pending = list(schedule)
@@ -466,7 +492,7 @@
         return None
 
     def check_engine(self, name: str) -> None:
-        """Notes whether an engine was ever overcommitted."""
+        """Records a violation if an engine was ever overcommitted."""
         address = self._fleet.addresses[name]
         report = processes.fetch("GET", f"http://{address}/report")
         if report["overcommitted"]:
@@ -481,7 +507,10 @@
         return lambda: self._fleet.start(name, *args[2:])
 
     def _race_operators(self, fault: Fault) -> None:
-        """Two operators confirm at once; at most one may win."""
+        """Lets two operators confirm plans concurrently.
+
+        The plans are for the same change, so at most one may be confirmed.
+        """
         self._serial += 1
         number = self._serial % 4
         intent = DELETE_MODEL if number in self._added_models else ADD_MODEL
@@ -524,7 +553,7 @@
 
 
 def _check_models(fleet: processes.Fleet, oracle: Oracle, callers: Any) -> None:
-    """All models answer through all entries once the faults are over."""
+    """Checks that each model answers ten calls in a row after the faults."""
     rng = random.Random(0)
     limit = time.monotonic() + SETTLE_SECONDS
     for model in "mn":
@@ -537,7 +566,9 @@
             if not good:
                 time.sleep(0.2)
         if streak < 10:
-            oracle.add_violation(f"model {model} did not come back")
+            oracle.add_violation(
+                f"model {model} did not answer after the faults"
+            )
 
 
 def _check_logs(fleet: processes.Fleet, oracle: Oracle) -> None:
@@ -556,7 +587,7 @@
 
 
 def main() -> int:
-    """Runs the soak; returns the exit code."""
+    """Runs the soak test; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=None)
