--- a/replays/__init__.py
+++ b/replays/__init__.py
@@ -1,1 +1,1 @@
-"""Replays of load patterns against the real decisions, in simulated time."""
+"""Replays of load patterns against production code, in simulated time."""
--- a/replays/__main__.py
+++ b/replays/__main__.py
@@ -1,13 +1,13 @@
-"""Replays load patterns against the decisions and prints JSON.
+"""Replays load patterns against the decision code and prints JSON.
 
 Usage:
     replays spread [--seeds N] [--instances N] [--copies N] [--load SHARE]
 
 Options:
-    --seeds N       Seeds to play, from 1 on [default: 3].
-    --instances N   Instances that choose [default: 195].
+    --seeds N       Number of seeds, from 1 on [default: 3].
+    --instances N   Instances that send requests [default: 195].
     --copies N      Endpoints that hold the model [default: 4].
-    --load SHARE    Work as a share of what they can do [default: 0.85].
+    --load SHARE    Load as a share of their capacity [default: 0.85].
 """
 
 import concurrent.futures
@@ -21,7 +21,7 @@
 
 
 def main() -> None:
-    """Plays the seeds with and without spreading, side by side."""
+    """Replays all seeds with and without load spreading."""
     arguments = docopt.docopt(__doc__)
     try:
         seeds = range(1, int(arguments["--seeds"]) + 1)
@@ -31,7 +31,7 @@
             load=float(arguments["--load"]),
         )
     except ValueError as e:
-        sys.exit(f"an option is no number ({e}); see --help")
+        sys.exit(f"an option is not a number ({e}); see --help")
     if min(len(seeds), base.instances, base.copies) < 1 or base.load <= 0:
         sys.exit("seeds, instances, copies and load have to be above 0")
     results = []
--- a/replays/spread.py
+++ b/replays/spread.py
@@ -1,9 +1,9 @@
-"""Requests of many instances for one model on a few copies.
+"""Simulates requests of many instances for one model with few copies.
 
-Every instance chooses for itself among the copies, by `decisions.selection`,
-and knows what the others sent from the last state: instances report now and
-then, and the holder tells the sum of the last reports now and then. A copy
-reads one prompt after the other.
+Each instance chooses among the copies by itself, using `decisions.selection`.
+It knows the requests of the other instances only from the last state update:
+instances report at one interval, and the lease holder announces the sum of the
+last reports at another. A copy prefills one prompt at a time.
 """
 
 import dataclasses
@@ -15,18 +15,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Settings:
-    """A load; the defaults are a busy model of a fleet of 195 instances.
+    """A load; the defaults are a busy model in a fleet of 195 instances.
 
     Attributes:
-        instances: Instances that choose.
+        instances: Instances that send requests.
         copies: Endpoints that hold the model.
-        load: Work that comes, as a share of what the copies can read.
-        prefill_seconds: Seconds that a prompt takes to be read on average.
-        report_seconds: Seconds between an instance's reports.
-        state_seconds: Seconds between the holder's states.
-        target_seconds: Seconds to the first byte that are aimed at.
-        duration_seconds: How long requests come.
-        spreads: Whether instances reckon with what others send meanwhile.
+        load: Offered load as a share of the copies' prefill capacity.
+        prefill_seconds: Mean prefill time of a prompt.
+        report_seconds: Interval between an instance's reports.
+        state_seconds: Interval between the lease holder's state updates.
+        target_seconds: Target for the wait, which ends with the prefill.
+        duration_seconds: Time during which requests arrive.
+        spreads: Whether instances allow for requests that the others have
+            sent since the last state update.
     """
 
     instances: int = 195
@@ -41,18 +42,18 @@
 
     @property
     def rate(self) -> float:
-        """Requests a second."""
+        """Requests per second of all instances together."""
         return self.load * self.copies / self.prefill_seconds
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What came of a replay.
+    """The result of a replay.
 
     Attributes:
-        requests: How many there were.
-        late: Share of them that waited for longer than the target.
-        mean: Seconds that one waited on average.
+        requests: Number of requests.
+        late: Share of requests that waited longer than the target.
+        mean: Mean wait, seconds.
     """
 
     requests: int
@@ -62,14 +63,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Sent:
-    """A prompt at a copy: when it will have been read, and its seconds."""
+    """A prompt at a copy: the end and the duration of its prefill."""
 
     ends: float
     seconds: float
 
 
 class _Instance:
-    """What one instance has sent to each copy and not seen read."""
+    """Tracks the prompts of one instance that the copies have not prefilled."""
 
     def __init__(self, copies: int) -> None:
         self._sent: list[list[_Sent]] = [[] for _ in range(copies)]
@@ -78,13 +79,13 @@
         self._sent[copy].append(sent)
 
     def unread(self, now: float) -> list[float]:
-        """Returns the seconds of its prompts that wait at each copy."""
+        """Returns the prefill seconds of its pending prompts at each copy."""
         self._sent = [[s for s in sent if s.ends > now] for sent in self._sent]
         return [sum(s.seconds for s in sent) for sent in self._sent]
 
 
 class _Simulation:
-    """The fleet and the copies, from one seed."""
+    """The instances and copies; all randomness comes from the seed."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._settings = settings
@@ -105,7 +106,7 @@
         ]
 
     def send_request(self, now: float) -> None:
-        """Plays one request at an instance drawn at random."""
+        """Sends one request from a random instance to the copy it chooses."""
         instance = self._rng.choice(self._fleet)
         copy = self._choose(instance.unread(now))
         seconds = self._settings.prefill_seconds * self._rng.uniform(0.3, 1.7)
@@ -137,7 +138,7 @@
 
 
 def replay(settings: Settings, seed: int) -> Result:
-    """Returns what comes of a load with one seed."""
+    """Returns the result of a load with one seed."""
     rng = random.Random(seed)
     simulation = _Simulation(settings, seed)
     events: list[tuple[float, int, int]] = [(settings.state_seconds, -1, 0)]
--- a/tests/replays/test_spread.py
+++ b/tests/replays/test_spread.py
@@ -1,15 +1,11 @@
-"""Many instances and a few copies, with word of load that is old.
-
-Symptom: on a deployment of 195 instances one in seven of the priority
-normalisations was late on a day of moving demand (1,028 of 6,877, 2.7 s at the
-99th percentile, 0.8 s aimed at), though its engines were half free on average.
-
-Sequence, as a replay of the decision shows it: an instance reports every 0.49
-s and the holder tells every 0.25 s. All instances send what comes in between
-to the one copy that was the shortest; the next state shows it flooded and
-another one idle.
-
-Cause: the choice was the strict minimum of what was told.
+"""Tests the choice among few copies by many instances with stale load data.
+
+Guards against the choice of the strict minimum of the announced loads. With
+195 instances, a report every 0.49 s and a state update every 0.25 s, all
+instances then send the requests of an interval to the copy with the shortest
+queue, which is overloaded while the others idle. One in seven priority requests
+missed the target of 0.8 s (2.7 s at the 99th percentile), although the engines
+were half idle on average.
 """
 
 import dataclasses
--- a/tests/test_run_local.py
+++ b/tests/test_run_local.py
@@ -1,9 +1,9 @@
-"""The script behind `make run`: its order of ends, and what it says.
+"""Tests the script behind `make run`: its stop order and its messages.
 
-Ctrl-C during a long stream broke the caller's answer off: all processes were
-told to end at the same moment, the engines among them, while the instances
-were to finish their streams there. And a first command that was refused ended
-the script without a reason on the screen, since the reason goes to stdout.
+Guards against stopping the engines together with the instances: on Ctrl-C, the
+instances could not finish their streams, and callers got truncated answers.
+Also guards against hiding why a first command was refused: with --json,
+wayslipctl prints the reason to stdout.
 """
 
 import json
@@ -55,7 +55,7 @@
 
 
 def _run(answers):
-    """Returns a stand-in for wayslipctl that gives one answer after another."""
+    """Returns a fake wayslipctl that gives the answers in order."""
     remaining = iter(answers)
 
     def run(*args):
@@ -80,11 +80,9 @@
 
 
 def test_second_signal_does_not_interrupt_cleanup():
-    # SIGTERM to the group comes twice, once more from make. The second came
-    # before it was ignored, raised amid the clean-up, and left all processes:
-    #
-    #   line 89, in main: signal.signal(number, signal.SIG_IGN)
-    #   line 94, in _raise_interrupt: raise KeyboardInterrupt
+    # A SIGTERM to the process group arrives twice, because make forwards it
+    # too. If signals are not ignored from the first one on, the second raises
+    # KeyboardInterrupt during the clean-up, and all processes are left running.
     numbers = (signal.SIGTERM, signal.SIGINT)
     before = [signal.getsignal(n) for n in numbers]
     try:
