--- a/bench/fake.py
+++ b/bench/fake.py
@@ -1,8 +1,8 @@
-"""A small fake of engines for measuring decisions; it models no network.
+"""Event-driven simulation of engines for benchmarks of decisions.
 
-Each engine has a running batch, a queue, a bounded prefix cache, reports that
-lag, and loads at the weight store's rate. Time is event driven. What it leaves
-out is listed in docs/design/measuring-decisions.md.
+Each engine has a running batch, a queue, a bounded prefix cache, and reports
+that arrive with a delay. The network is not simulated. The other limits of the
+simulation are listed in docs/design/measuring-decisions.md.
 """
 
 import collections
@@ -19,9 +19,10 @@
 
     Attributes:
         prompt: Block hashes of its prompt.
-        tokens: Prompt length.
-        output: Tokens it generates.
-        target: Seconds to the first token that count as attained.
+        tokens: Prompt length, tokens.
+        output: Length of its output, tokens.
+        target: Longest time to the first token that counts as attained,
+            seconds.
     """
 
     id: int
@@ -35,40 +36,42 @@
 
     @property
     def rank(self) -> int:
-        """The class's rank, as in the default settings."""
+        """The rank of the request class, as in the default settings."""
         return 0 if self.priority == "dispatch" else 1
 
 
 BLOCK_TOKENS = 64
 CACHE_BLOCKS = 3000
+# Tokens per second.
 PREFILL_RATE = 8000.0
-CHUNK = 512
-STEP = 0.025
-# Each running request makes a step this much longer.
-STEP_PER_RUNNING = 0.0006
+CHUNK_TOKENS = 512
+STEP_SECONDS = 0.025
+# Added to the duration of a step for each running request.
+STEP_SECONDS_PER_REQUEST = 0.0006
 SLOTS = 32
-REPORT_LAG = 0.5
+# Reports are taken at this interval and arrive after half of it.
+REPORT_LAG_SECONDS = 0.5
 
 
 @dataclasses.dataclass
-class _Waiting:
-    """A job in an engine's queue; left is prefill still to do."""
+class _QueuedJob:
+    """A job in an engine's queue, with the prefill tokens that remain."""
 
     job: Job
     on_end: Any
-    left: int
+    tokens_left: int
     has_begun: bool = False
 
 
 class Engine:
-    """An engine: one prefill at a time, lower ranks first, then a batch."""
+    """An engine: prefills one chunk at a time, lower ranks first."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.is_dead = False
         self.running = 0
         self.is_prefilling = False
-        # Rank, number, job and what to call at its end.
+        # Heap of rank, job id and queued job.
         self.queue: list[Any] = []
         self.cache: collections.OrderedDict[int, None] = (
             collections.OrderedDict()
@@ -77,11 +80,11 @@
 
     @property
     def waiting_tokens(self) -> int:
-        """Prefill of the requests in the queue."""
-        return sum(entry.left for _, _, entry in self.queue)
+        """Prefill tokens of the requests in the queue."""
+        return sum(entry.tokens_left for _, _, entry in self.queue)
 
     def cached(self, job: Job) -> int:
-        """Tokens of a prompt that the cache holds."""
+        """Returns how many tokens of a job's prompt are cached."""
         length = 0
         for block in job.prompt:
             if block not in self.cache:
@@ -89,8 +92,8 @@
             length += 1
         return length * BLOCK_TOKENS
 
-    def remember(self, job: Job) -> None:
-        """Puts a prompt into the cache; the oldest blocks go."""
+    def cache_prompt(self, job: Job) -> None:
+        """Adds a prompt to the cache; evicts the least recently used blocks."""
         for block in job.prompt:
             self.cache[block] = None
             self.cache.move_to_end(block)
@@ -100,14 +103,22 @@
 
 @dataclasses.dataclass
 class Result:
-    """What came of a run."""
+    """The result of a run.
+
+    Attributes:
+        first: Times to the first token by priority, seconds.
+        gaps: Seconds between the tokens of each request.
+        attained: Requests with the first token within target, by priority.
+        arrived: Requests by priority.
+        refused: Requests that admission refused, by priority.
+    """
 
     first: dict[str, list[float]] = dataclasses.field(default_factory=dict)
     gaps: list[float] = dataclasses.field(default_factory=list)
     attained: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    asked: collections.Counter[str] = dataclasses.field(
+    arrived: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     refused: collections.Counter[str] = dataclasses.field(
@@ -117,7 +128,7 @@
 
 
 class Clock:
-    """Events in order of time."""
+    """Runs events in the order of simulated time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -125,7 +136,7 @@
         self._numbers = itertools.count()
 
     def add(self, at: float, action: Any) -> None:
-        """Has an action run at a time."""
+        """Schedules an action."""
         heapq.heappush(self._events, (at, next(self._numbers), action))
 
     def run(self, until: float) -> None:
@@ -137,7 +148,7 @@
 
 
 class Pool:
-    """Engines that serve jobs, and what their entries were told of them."""
+    """Engines that serve jobs, and their last reports to the entries."""
 
     def __init__(self, names: list[str], clock: Clock) -> None:
         self.clock = clock
@@ -147,21 +158,21 @@
         self._report()
 
     def _report(self) -> None:
-        taken = {
+        snapshot = {
             n: (self.clock.now, e.running + len(e.queue), e.waiting_tokens)
             for n, e in self.engines.items()
         }
 
         def publish() -> None:
-            self.reports = taken
+            self.reports = snapshot
 
-        self.clock.add(self.clock.now + REPORT_LAG / 2, publish)
-        self.clock.add(self.clock.now + REPORT_LAG, self._report)
+        self.clock.add(self.clock.now + REPORT_LAG_SECONDS / 2, publish)
+        self.clock.add(self.clock.now + REPORT_LAG_SECONDS, self._report)
 
     def submit(self, engine: Engine, job: Job, on_end: Any) -> None:
-        """Hands a job to an engine."""
+        """Adds a job to an engine's queue."""
         uncached = max(job.tokens - engine.cached(job), 1)
-        entry = _Waiting(job, on_end, uncached)
+        entry = _QueuedJob(job, on_end, uncached)
         heapq.heappush(engine.queue, (job.rank, job.id, entry))
         self._start(engine)
 
@@ -173,30 +184,33 @@
             if engine.running >= SLOTS:
                 return
             entry.has_begun = True
-            entry.left = max(entry.job.tokens - engine.cached(entry.job), 1)
+            entry.tokens_left = max(
+                entry.job.tokens - engine.cached(entry.job), 1
+            )
             engine.running += 1
         heapq.heappop(engine.queue)
         engine.is_prefilling = True
-        chunk = min(entry.left, CHUNK)
-        entry.left -= chunk
+        chunk = min(entry.tokens_left, CHUNK_TOKENS)
+        entry.tokens_left -= chunk
         done = self.clock.now + chunk / PREFILL_RATE
         self.clock.add(done, lambda: self._prefilled(engine, entry))
 
-    def _prefilled(self, engine: Engine, entry: "_Waiting") -> None:
+    def _prefilled(self, engine: Engine, entry: "_QueuedJob") -> None:
         engine.is_prefilling = False
-        if entry.left:
-            # Another request of a lower rank may go first now.
+        if entry.tokens_left:
+            # Requeued between chunks, so that a request of a lower rank that
+            # has arrived meanwhile goes first.
             job = entry.job
             heapq.heappush(engine.queue, (job.rank, job.id, entry))
         else:
-            engine.remember(entry.job)
+            engine.cache_prompt(entry.job)
             self._decode(engine, entry.job, entry.on_end)
         self._start(engine)
 
     def _decode(self, engine: Engine, job: Job, on_end: Any) -> None:
         now = self.clock.now
-        step = STEP + STEP_PER_RUNNING * engine.running
-        self._note(job, now + step - job.at, step)
+        step = STEP_SECONDS + STEP_SECONDS_PER_REQUEST * engine.running
+        self._record(job, now + step - job.at, step)
         ends = now + step * job.output
         self.clock.add(ends, lambda: self._end(engine, on_end))
 
@@ -205,7 +219,7 @@
         on_end()
         self._start(engine)
 
-    def _note(self, job: Job, first: float, step: float) -> None:
+    def _record(self, job: Job, first: float, step: float) -> None:
         result = self.result
         result.first.setdefault(job.priority, []).append(first)
         result.gaps.append(step)
@@ -213,7 +227,7 @@
             result.attained[job.priority] += 1
 
     def kill(self, name: str) -> list[Any]:
-        """Ends an engine; returns the jobs that waited there."""
+        """Crashes an engine; returns the jobs of its queue."""
         engine = self.engines[name]
         engine.is_dead = True
         lost = [(entry.job, entry.on_end) for _, _, entry in engine.queue]
@@ -224,13 +238,21 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Mix:
-    """Arrivals of a stretch.
+class Workload:
+    """Arrivals of a scenario.
 
     Attributes:
-        rate: Requests a second at the start.
-        models: Number of models; low numbers are asked for most.
-        burst: At this time some models' demand is ten times as high.
+        rate: Requests per second outside the burst.
+        models: Number of models; low numbers have the highest demand.
+        seconds: Duration of the arrivals.
+        burst: Start of the burst, seconds; no burst if 0. It lasts for a
+            quarter of the duration and raises the rate by a factor of 1.6.
+        burst_factor: Factor on the demand for a tenth of the models during
+            the burst.
+        dispatch_share: Share of requests of the dispatch class.
+        follow_up_share: Probability that a request continues an earlier
+            conversation of its model, if there is one.
+        shared_prefixes: Number of system prompts for each model.
     """
 
     rate: float
@@ -239,32 +261,32 @@
     burst: float = 0.0
     burst_factor: float = 10.0
     dispatch_share: float = 0.2
-    turns: float = 0.5
+    follow_up_share: float = 0.5
     shared_prefixes: int = 20
 
 
-def make_jobs(mix: Mix, seed: int) -> list[Job]:
-    """Returns the arrivals of a stretch, by seed."""
+def make_jobs(workload: Workload, seed: int) -> list[Job]:
+    """Returns the arrivals of a scenario for a seed."""
     rng = random.Random(seed)
     jobs = []
     at = 0.0
     history: collections.deque[Job] = collections.deque(maxlen=200)
-    weights = [1 / (n + 1) for n in range(mix.models)]
-    hot = rng.sample(range(mix.models), max(mix.models // 10, 1))
+    weights = [1 / (n + 1) for n in range(workload.models)]
+    hot = rng.sample(range(workload.models), max(workload.models // 10, 1))
     for number in itertools.count():
-        is_burst = mix.burst <= at < mix.burst + mix.seconds / 4
-        in_burst = mix.burst > 0 and is_burst
-        rate = mix.rate * (1.6 if in_burst else 1.0)
+        is_burst = workload.burst <= at < workload.burst + workload.seconds / 4
+        in_burst = workload.burst > 0 and is_burst
+        rate = workload.rate * (1.6 if in_burst else 1.0)
         at += rng.expovariate(rate)
-        if at >= mix.seconds:
+        if at >= workload.seconds:
             return jobs
-        now = list(weights)
+        demand = list(weights)
         if in_burst:
             for n in hot:
-                now[n] *= mix.burst_factor
-        model = f"m{rng.choices(range(mix.models), now)[0]}"
-        prompt = _make_prompt(rng, mix, model, history)
-        dispatch = rng.random() < mix.dispatch_share
+                demand[n] *= workload.burst_factor
+        model = f"m{rng.choices(range(workload.models), demand)[0]}"
+        prompt = _make_prompt(rng, workload, model, history)
+        dispatch = rng.random() < workload.dispatch_share
         job = Job(
             number,
             at,
@@ -282,7 +304,7 @@
 
 def _make_prompt(
     rng: random.Random,
-    mix: Mix,
+    workload: Workload,
     model: str,
     history: collections.deque[Job],
 ) -> tuple[int, ...]:
@@ -290,9 +312,10 @@
         rng.getrandbits(60) for _ in range(1 + int(rng.expovariate(1 / 5)))
     )
     earlier = [j for j in history if j.model == model]
-    if earlier and rng.random() < mix.turns:
-        # The next turn of a conversation carries the whole of the last.
+    if earlier and rng.random() < workload.follow_up_share:
+        # The next turn of a conversation starts with the previous prompt, of
+        # which at most 60 blocks are kept.
         return rng.choice(earlier).prompt[:60] + fresh
-    shared = random.Random(f"{model}-{rng.randrange(mix.shared_prefixes)}")
+    shared = random.Random(f"{model}-{rng.randrange(workload.shared_prefixes)}")
     system = tuple(shared.getrandbits(60) for _ in range(12))
     return system + fresh
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,9 +1,10 @@
-"""Cost of the parts of control by size: the slopes of docs/CAPACITY.md.
+"""Measures how the cost of each part of the control plane grows with size.
 
     python -m bench.slopes [SECTION ...]
 
-Each section prints its figure at three sizes or more. Times are processor
-time of this machine; sizes are bytes on the wire or in the store.
+docs/CAPACITY.md uses the results. Each section measures three sizes or more.
+Times are processor time of this machine; sizes are bytes on the wire or in the
+store.
 """
 
 import collections
@@ -32,27 +33,33 @@
 _KEY = b"0123456789abcdef"
 
 
-def time_of(action: Any, least: float = 0.3) -> float:
-    """Returns the processor seconds of one call of an action."""
+def measure_cpu(action: Any, min_seconds: float = 0.3) -> float:
+    """Returns the processor time of one call of an action, seconds.
+
+    Args:
+        action: Called repeatedly.
+        min_seconds: Processor time of all calls together, at least.
+    """
     count = 1
     while True:
         began = time.process_time()
         for _ in range(count):
             action()
         spent = time.process_time() - began
-        if spent >= least:
+        if spent >= min_seconds:
             return spent / count
-        count = max(count * 2, int(count * least / max(spent, 1e-6)))
+        count = max(count * 2, int(count * min_seconds / max(spent, 1e-6)))
 
 
 # Membership
 
 
 class Fleet:
-    """Memberships whose messages arrive at once; time is given."""
+    """Memberships in simulated time whose messages arrive without delay."""
 
     def __init__(self, size: int, seed: int = 1, seeds: int = 0) -> None:
-        # Addresses whose messages to other groups are lost.
+        # Addresses on one side of a network partition; messages between the
+        # sides are lost.
         self.parted: set[str] = set()
         self.nodes: dict[str, membership.Membership] = {}
         self.now = 0.0
@@ -71,32 +78,36 @@
                 member, known, 0.5, 2.0, rng
             )
         for node in self.nodes.values():
-            # All know all, and there is no news left to spread.
+            # All members know each other, and no update is left to send.
             node._members.update((m.name, m) for m in first)
             node._sends_left.clear()
 
     def tick(self, seconds: float = 0.1) -> None:
-        """Lets some time pass for all."""
+        """Advances the time of all members."""
         self.now += seconds
         for address, node in list(self.nodes.items()):
             self._deliver(address, node.tick(self.now))
 
-    def _deliver(self, source: str, outs: list[membership.Outgoing]) -> None:
-        todo = collections.deque((source, o) for o in outs)
-        while todo:
-            sender, out = todo.popleft()
+    def _deliver(
+        self, source: str, outgoing: list[membership.Outgoing]
+    ) -> None:
+        pending = collections.deque((source, o) for o in outgoing)
+        while pending:
+            sender, out = pending.popleft()
             self.sent += 1
             node = self.nodes.get(out.address)
-            is_cut = (sender in self.parted) != (out.address in self.parted)
-            if node is None or is_cut:
+            is_partitioned = (sender in self.parted) != (
+                out.address in self.parted
+            )
+            if node is None or is_partitioned:
                 continue
             answers = node.receive(out.message, sender, self.now)
-            todo.extend((out.address, a) for a in answers)
+            pending.extend((out.address, a) for a in answers)
 
 
 @SECTIONS.register("membership")
 def measure_membership() -> None:
-    """Messages and time a member and second, and how news spreads."""
+    """Measures messages, processor time and dissemination delays."""
     print("membership: members us/member/s msgs/member/s spread_s death_s")
     for size in (18, 100, 400, 1600):
         fleet = Fleet(size)
@@ -110,8 +121,8 @@
         sent = fleet.sent / size / 2.0
         print(
             f"{size:>8} {1e6 * spent:>8.0f} {sent:>6.2f}"
-            f" {_time_to_spread(fleet):>8.1f}"
-            f" {_time_to_find_death(fleet):>8.1f}",
+            f" {_measure_dissemination(fleet):>8.1f}"
+            f" {_measure_failure_detection(fleet):>8.1f}",
             flush=True,
         )
     member = membership.Member(
@@ -129,19 +140,19 @@
         fact = facts.Fact(facts.Topic.LEAVING, "engine-1", member.name, 1e9)
         gossip = messages.Gossip(probe, (fact,) * count, 5)
         data = frames.seal_datagram(_KEY, gossip, 1e9)
-        seal = time_of(lambda g=gossip: frames.seal_datagram(_KEY, g, 1e9))
-        opened = time_of(lambda d=data: frames.open_datagram(_KEY, d, 1e9))
+        seal = measure_cpu(lambda g=gossip: frames.seal_datagram(_KEY, g, 1e9))
+        opened = measure_cpu(lambda d=data: frames.open_datagram(_KEY, d, 1e9))
         print(
             f"datagram with {count} facts: {len(data)} bytes,"
             f" seal {1e6 * seal:.0f} us, open {1e6 * opened:.0f} us"
         )
 
 
-def _time_to_spread(fleet: Fleet) -> float:
-    """Seconds until all know of a member's leaving."""
-    leaver = next(iter(fleet.nodes.values()))
-    name = leaver.me.name
-    leaver.leave()
+def _measure_dissemination(fleet: Fleet) -> float:
+    """Returns the seconds until all know that a member leaves, at most 60."""
+    leaving_node = next(iter(fleet.nodes.values()))
+    name = leaving_node.me.name
+    leaving_node.leave()
     began = fleet.now
     leaving = membership.Status.LEAVING
 
@@ -156,15 +167,18 @@
     return fleet.now - began
 
 
-def _time_to_find_death(fleet: Fleet) -> float:
-    """Seconds until all know that a silent member is dead."""
-    address, victim = next(reversed(fleet.nodes.items()))
+def _measure_failure_detection(fleet: Fleet) -> float:
+    """Returns the seconds until all know that a member is dead, at most 60.
+
+    The member is removed without notice and stops answering.
+    """
+    address, failed = next(reversed(fleet.nodes.items()))
     del fleet.nodes[address]
     began = fleet.now
     dead = membership.Status.DEAD
 
     def is_known(node: membership.Membership) -> bool:
-        member = node.get(victim.me.name)
+        member = node.get(failed.me.name)
         return member is None or member.status is dead
 
     while not all(is_known(n) for n in fleet.nodes.values()):
@@ -180,7 +194,7 @@
 def make_configuration(
     models: int, engines: int
 ) -> configuration.Configuration:
-    """Returns a configuration of some size."""
+    """Returns a configuration with this number of models and engines."""
     names = tuple(f"engine-{n}" for n in range(engines))
     values: list[configuration.Value] = [configuration.Pool("p", names)]
     for n in range(models):
@@ -201,7 +215,7 @@
 
 @SECTIONS.register("configuration")
 def measure_configuration() -> None:
-    """Size and cost of the whole, and of one change."""
+    """Measures a whole configuration and the delta of one change."""
     print(
         "configuration: models engines bytes change_bytes merge_ms catalog_ms"
     )
@@ -214,8 +228,8 @@
         )
         delta = after.delta(whole.generation)
         frame = frames.seal_datagram(_KEY, messages.Pulled(delta), 1e9)
-        merge = time_of(lambda w=whole, d=delta: w.merge(d))
-        build = time_of(lambda a=after: catalog.build_catalog(a))
+        merge = measure_cpu(lambda w=whole, d=delta: w.merge(d))
+        build = measure_cpu(lambda a=after: catalog.build_catalog(a))
         print(
             f"{models:>6} {engines:>6} {size:>9} {len(frame):>6}"
             f" {1e3 * merge:>7.2f} {1e3 * build:>7.2f}"
@@ -227,7 +241,7 @@
 
 @SECTIONS.register("ledger")
 def measure_ledger() -> None:
-    """Size of a ledger, and cost of a report and of an order."""
+    """Measures the size of a ledger and the cost of a report and an order."""
     print("ledger: items bytes observe_us begin_us")
     for items in (4, 12, 40):
         held = ledger.Ledger("engine-1", 10**6, True, boot=1)
@@ -241,8 +255,8 @@
             held = begun.settle(f"a{n}", ledger.Outcome.APPLIED, seen)
         report = ledger.Residency(1, items, frozenset(), frozenset(names))
         size = len(json.dumps(kinds.LEDGER.dump(held)))
-        observe = time_of(lambda h=held, r=report: h.observe(r, 1.0, 60.0))
-        begin = time_of(lambda h=held: h.begin_load("x", 1, "b", "me"))
+        observe = measure_cpu(lambda h=held, r=report: h.observe(r, 1.0, 60.0))
+        begin = measure_cpu(lambda h=held: h.begin_load("x", 1, "b", "me"))
         print(f"{items:>5} {size:>6} {1e6 * observe:>8.0f} {1e6 * begin:>6.0f}")
 
 
@@ -251,7 +265,7 @@
 
 @SECTIONS.register("routing")
 def measure_routing() -> None:
-    """Cost of a decision over many engines, and memory of the prefix index."""
+    """Measures the cost of a decision and the memory of the prefix index."""
     print("routing: candidates decision_us")
     rng = random.Random(1)
     for count in (6, 100, 1000, 12000):
@@ -263,7 +277,7 @@
             sample = routing.sample_candidates(found, rng)
             routing.choose_predicted(sample, 500, rng)
 
-        print(f"{count:>6} {1e6 * time_of(decide):>8.1f}")
+        print(f"{count:>6} {1e6 * measure_cpu(decide):>8.1f}")
     tracemalloc.start()
     index = prefixes.PrefixIndex()
     for engine in range(8):
@@ -282,7 +296,7 @@
 
 @SECTIONS.register("journal")
 def measure_journal() -> None:
-    """Bytes a key, and cost of one write of a slot."""
+    """Measures the bytes per record and the cost of encoding a segment."""
     print("journal: records bytes bytes/record write_ms")
     for count in (10, 100, 1000):
         segment = journal.Segment(0)
@@ -300,7 +314,7 @@
         size = len(write())
         print(
             f"{count:>6} {size:>8} {size / count:>6.0f}"
-            f" {1e3 * time_of(write):>7.2f}"
+            f" {1e3 * measure_cpu(write):>7.2f}"
         )
 
 
@@ -309,7 +323,7 @@
 
 @SECTIONS.register("placement")
 def measure_placement() -> None:
-    """Cost of placing all models of a pool on its engines."""
+    """Measures the placement of all models of a pool on its engines."""
     print("placement: models engines ms")
     for models, engines in ((26, 6), (100, 100), (290, 400)):
         whole = make_configuration(models, engines)
@@ -329,7 +343,7 @@
 
 
 def main() -> None:
-    """Runs the sections that are named, or all."""
+    """Runs the sections given as arguments, or all."""
     for name in sys.argv[1:] or list(SECTIONS):
         SECTIONS.get(name)()
 
--- a/bench/stream_client.py
+++ b/bench/stream_client.py
@@ -1,7 +1,7 @@
-"""Opens many streams from one thread and prints when their events came.
+"""Opens many streams from one thread and prints the delays of their events.
 
-Used by bench/relay.py, as a process of its own, so that its cost is not the
-relay's.
+bench/relay.py runs it as a separate process, so that its cost does not count
+as cost of the relay.
 """
 
 import argparse
@@ -13,32 +13,33 @@
 
 
 class Reader:
-    """One stream: when it was asked for and when its events came."""
+    """Measures the delays of the events of one stream."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.asked = time.monotonic()
-        self.last = 0.0
+        self.sent_at = time.monotonic()
+        self.last_event_at = 0.0
         self.first = 0.0
         self.gaps: list[float] = []
         self.events = 0
         self.tail = b""
 
-    def take(self, data: bytes) -> bool:
-        """Notes the events in some bytes; returns whether it was the end."""
+    def feed(self, data: bytes) -> bool:
+        """Records the events in the data; returns whether the stream ended."""
         now = time.monotonic()
         text = self.tail + data
         count = text.count(b'"choices"')
         self.tail = text[-20:] if b'"choices"' not in text[-20:] else b""
         if count:
             if self.events:
-                # Several at once: one waited, the others came with it.
-                self.gaps.append(now - self.last)
+                # Events that arrive together: the first one has the whole
+                # gap, the others none.
+                self.gaps.append(now - self.last_event_at)
                 self.gaps += [0.0] * (count - 1)
             else:
-                self.first = now - self.asked
+                self.first = now - self.sent_at
             self.events += count
-            self.last = now
+            self.last_event_at = now
         return b"0\r\n\r\n" in text
 
 
@@ -68,7 +69,7 @@
             open_streams += 1
         for key, _ in selector.select(0.005):
             data = key.fileobj.recv(65536)  # type: ignore[union-attr]
-            if not data or key.data.take(data):
+            if not data or key.data.feed(data):
                 selector.unregister(key.fileobj)
                 key.fileobj.close()  # type: ignore[union-attr]
                 open_streams -= 1
--- a/scripts/run_local.py
+++ b/scripts/run_local.py
@@ -1,8 +1,8 @@
-"""Runs the whole path on this machine: stand-ins and two instances.
+"""Runs a complete local deployment: stand-ins and two instances.
 
-Started by `make run`. It writes the instances' settings, starts every process,
+Started by `make run`. It writes the instances' settings, starts all processes,
 applies examples/models.toml through wayslipctl as an operator would, prints a
-curl line and waits. Ctrl-C or SIGTERM ends all processes by a planned stop.
+curl command and waits. Ctrl-C or SIGTERM stops all processes gracefully.
 """
 
 from collections.abc import Callable
@@ -24,13 +24,15 @@
 ENGINE_PORTS = (6101, 6102, 6103)
 SERVICE_PORT = 6201
 CAPACITY = 80_000_000
-HALLS = ("salt-lake", "howrah-hall", "newtown")
-_ENDING_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-# A first command may come before the instances know each other, seconds.
-_TRIES = 20
+DATA_HALLS = ("salt-lake", "howrah-hall", "newtown")
+_STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
+# Instances refuse commands until they know each other, so the first command is
+# retried.
+_APPLY_ATTEMPTS = 20
 _PAUSE_SECONDS = 0.5
-# Longer than an instance's `drain.finish_seconds`.
-_END_SECONDS = 40
+# Longer than an instance's `drain.finish_seconds`, so that the instance can
+# finish its streams before it is killed.
+_STOP_TIMEOUT_SECONDS = 40
 _PREFIX = f"http://127.0.0.1:{OBJECT_PORT}/apis/wayslip.io/v1"
 
 SETTINGS = """\
@@ -76,11 +78,13 @@
         _start_stand_ins(stand_ins)
         _put_endpoints()
         _start_instances(instances)
-        _seed()
+        _apply_example()
         _print_help()
         while all(p.poll() is None for p in [*stand_ins, *instances]):
             time.sleep(0.5)
-        print("a process ended; see the log above", file=sys.stderr)
+        print(
+            "a process exited unexpectedly; see the log above", file=sys.stderr
+        )
         return 1
     except KeyboardInterrupt:
         return 0
@@ -89,23 +93,23 @@
 
 
 def listen_for_signals() -> None:
-    """Has the first SIGTERM or SIGINT end the script, and later ones ignored.
+    """Stops the script at the first SIGTERM or SIGINT; ignores later ones.
 
-    A group's signal comes twice, once more from make. A second one that
-    interrupts the clean-up would leave processes behind.
+    A signal to the process group arrives twice, because make forwards it too.
+    If the second one interrupted the clean-up, processes would be left running.
     """
-    for number in _ENDING_SIGNALS:
+    for number in _STOP_SIGNALS:
         signal.signal(number, _raise_interrupt)
 
 
 def _raise_interrupt(number: int, frame: object) -> None:
-    for ending in _ENDING_SIGNALS:
-        signal.signal(ending, signal.SIG_IGN)
+    for stop_signal in _STOP_SIGNALS:
+        signal.signal(stop_signal, signal.SIG_IGN)
     raise KeyboardInterrupt
 
 
 def _start(processes: list[subprocess.Popen], *args: str) -> None:
-    # A group of its own, so that Ctrl-C reaches this script only and the
+    # In a session of its own, so that Ctrl-C reaches this script only and the
     # processes are stopped in order.
     env = {**os.environ, "PYTHONPATH": f"{ROOT}/src:{ROOT}"}
     processes.append(
@@ -125,10 +129,12 @@
 
 
 def _put_endpoints() -> None:
-    """Writes the platform's list of endpoints, which is the platform's job."""
+    """Writes the list of endpoints, which the platform does in production."""
     for n, port in enumerate(ENGINE_PORTS, 1):
-        _put_endpoint(f"engine-{n}", "engine", port, HALLS[n - 1], CAPACITY)
-    _put_endpoint("register-1", "service", SERVICE_PORT, HALLS[0], 0)
+        _put_endpoint(
+            f"engine-{n}", "engine", port, DATA_HALLS[n - 1], CAPACITY
+        )
+    _put_endpoint("register-1", "service", SERVICE_PORT, DATA_HALLS[0], 0)
 
 
 def _put_endpoint(
@@ -146,14 +152,14 @@
     request = urllib.request.Request(
         f"{_PREFIX}/endpoints", json.dumps(body).encode(), headers
     )
-    _wait_until(lambda: urllib.request.urlopen(request, timeout=2))
+    _retry_until_success(lambda: urllib.request.urlopen(request, timeout=2))
 
 
-def _wait_until(step) -> None:  # type: ignore[no-untyped-def]
+def _retry_until_success(action) -> None:  # type: ignore[no-untyped-def]
     limit = time.monotonic() + 30
     while True:
         try:
-            step()
+            action()
             return
         except OSError:
             if time.monotonic() > limit:
@@ -168,7 +174,7 @@
         path.write_text(
             SETTINGS.format(
                 n=n,
-                hall=HALLS[n],
+                hall=DATA_HALLS[n],
                 callers=8080 + n,
                 operators=9080 + n,
                 entry_operators=9180 + n,
@@ -183,22 +189,22 @@
         for program in ("control", "entry"):
             _start(processes, f"wayslip.cli.{program}", "--settings", str(path))
     health = "http://127.0.0.1:9080/healthz"
-    _wait_until(lambda: urllib.request.urlopen(health, timeout=2))
+    _retry_until_success(lambda: urllib.request.urlopen(health, timeout=2))
 
 
-def _seed() -> None:
+def _apply_example() -> None:
     """Applies the example's models as an operator would."""
-    plan = apply_models(_control)
-    confirmed = _control("confirm", plan, "--wait", "30")
+    plan = apply_models(_run_wayslipctl)
+    confirmed = _run_wayslipctl("confirm", plan, "--wait", "30")
     if confirmed.returncode:
         raise SystemExit(_describe("confirm", confirmed))
-    # The engines now hold the models; the entries hear of it by their polls.
+    # The engines now hold the models; the entries learn of it when they poll.
     ready = "http://127.0.0.1:9180/readyz"
-    _wait_until(lambda: urllib.request.urlopen(ready, timeout=2))
+    _retry_until_success(lambda: urllib.request.urlopen(ready, timeout=2))
     time.sleep(1.5)
 
 
-def _control(*args: str) -> subprocess.CompletedProcess[str]:
+def _run_wayslipctl(*args: str) -> subprocess.CompletedProcess[str]:
     """Runs wayslipctl as the local operator."""
     env = {
         **os.environ,
@@ -211,37 +217,39 @@
 
 def apply_models(
     run: Callable[..., subprocess.CompletedProcess[str]],
-    tries: int = _TRIES,
-    pause: float = _PAUSE_SECONDS,
+    attempts: int = _APPLY_ATTEMPTS,
+    pause_seconds: float = _PAUSE_SECONDS,
 ) -> str:
-    """Applies the example's models; returns the plan's id.
+    """Applies examples/models.toml; returns the plan's id.
 
-    Instances that have just started may not know each other yet and refuse.
+    Instances that have just started may not know each other yet and refuse the
+    command, so it is retried.
 
     Args:
-        run: Runs wayslipctl with some arguments.
-        tries: Times that it is asked.
-        pause: Between them, seconds.
+        run: Runs wayslipctl with the given arguments.
+        attempts: Maximum number of attempts.
+        pause_seconds: Pause after a failed attempt, seconds.
     """
     models = str(ROOT / "examples" / "models.toml")
-    for _ in range(tries):
+    for _ in range(attempts):
         applied = run("--json", "apply", models)
         if not applied.returncode:
             return str(json.loads(applied.stdout)["id"])
-        time.sleep(pause)
+        time.sleep(pause_seconds)
     raise SystemExit(_describe("apply", applied))
 
 
-def _describe(verb: str, ended: subprocess.CompletedProcess[str]) -> str:
-    """Returns why a command failed; with --json it says so on stdout."""
-    said = f"{ended.stderr}\n{ended.stdout}".strip()
-    return f"wayslipctl {verb} ended with {ended.returncode}: {said}"
+def _describe(verb: str, result: subprocess.CompletedProcess[str]) -> str:
+    """Returns why a command failed; with --json the reason is on stdout."""
+    output = f"{result.stderr}\n{result.stdout}".strip()
+    return f"wayslipctl {verb} exited with {result.returncode}: {output}"
 
 
 def _print_help() -> None:
     print(
         f"""
-wayslip runs. Callers: 127.0.0.1:8080, 8081. Operators: 127.0.0.1:9080, 9081.
+wayslip is running.
+Callers: 127.0.0.1:8080, 8081. Operators: 127.0.0.1:9080, 9081.
 
 curl -N http://127.0.0.1:8080/v1/chat/completions \\
   -H 'Authorization: Bearer {CALLER_KEY}' \\
@@ -259,19 +267,19 @@
 def stop(
     stand_ins: list[subprocess.Popen], instances: list[subprocess.Popen]
 ) -> None:
-    """Ends all processes, those that the instances need after them."""
+    """Stops the instances and then the stand-ins, which the instances need."""
     for group in (instances, stand_ins):
         for process in group:
             process.terminate()
         for process in group:
-            _wait_for_end(process)
+            _wait_for_exit(process)
 
 
-def _wait_for_end(process: subprocess.Popen) -> None:
+def _wait_for_exit(process: subprocess.Popen) -> None:
     try:
-        process.wait(timeout=_END_SECONDS)
+        process.wait(timeout=_STOP_TIMEOUT_SECONDS)
     except subprocess.TimeoutExpired:
-        print(f"process {process.pid} is killed: it did not end in time")
+        print(f"killing process {process.pid}: it did not exit in time")
         process.kill()
 
 
--- a/tests/test_run_local.py
+++ b/tests/test_run_local.py
@@ -1,9 +1,9 @@
-"""The script behind `make run`: its order of ends, and what it says.
+"""Tests the script behind `make run`: its stop order and its messages.
 
-Ctrl-C during a long stream broke the caller's answer off: all processes were
-told to end at the same moment, the engines among them, while the instances
-were to finish their streams there. And a first command that was refused ended
-the script without a reason on the screen, since the reason goes to stdout.
+Guards against stopping the engines together with the instances: on Ctrl-C, the
+instances could not finish their streams, and callers got truncated answers.
+Also guards against hiding why a first command was refused: with --json,
+wayslipctl prints the reason to stdout.
 """
 
 import json
@@ -46,7 +46,7 @@
     return process
 
 
-def test_engines_outlast_the_instances(tmp_path):
+def test_engines_are_stopped_after_instances(tmp_path):
     engine = _start(_ENGINE, tmp_path / "engine")
     instance = _start(_INSTANCE, tmp_path / "engine", tmp_path / "seen")
     run_local.stop([engine], [instance])
@@ -55,34 +55,34 @@
 
 
 def _run(answers):
-    """Returns a stand-in for wayslipctl that gives one answer after another."""
-    left = iter(answers)
+    """Returns a fake wayslipctl that gives the answers in order."""
+    remaining = iter(answers)
 
     def run(*args):
-        code, out = next(left)
+        code, out = next(remaining)
         return subprocess.CompletedProcess(args, code, out, "")
 
     return run
 
 
-def test_refused_command_says_why():
+def test_refused_command_reports_reason():
     refused = json.dumps({"error": "no quorum", "remedy": "wait"})
     with pytest.raises(SystemExit, match="no quorum"):
-        run_local.apply_models(_run([(1, refused)] * 3), tries=3, pause=0.0)
+        run_local.apply_models(
+            _run([(1, refused)] * 3), attempts=3, pause_seconds=0.0
+        )
 
 
-def test_command_that_came_too_early_is_repeated():
+def test_command_refused_at_startup_is_retried():
     refused = (1, "the list of members is not known yet")
     run = _run([refused, (0, json.dumps({"id": "p1"}))])
-    assert run_local.apply_models(run, tries=3, pause=0.0) == "p1"
+    assert run_local.apply_models(run, attempts=3, pause_seconds=0.0) == "p1"
 
 
-def test_second_signal_does_not_break_the_end_off():
-    # SIGTERM to the group comes twice, once more from make. The second came
-    # before it was ignored, raised amid the clean-up, and left all processes:
-    #
-    #   line 89, in main: signal.signal(number, signal.SIG_IGN)
-    #   line 94, in _raise_interrupt: raise KeyboardInterrupt
+def test_second_signal_does_not_interrupt_cleanup():
+    # A SIGTERM to the process group arrives twice, because make forwards it
+    # too. If signals are not ignored from the first one on, the second raises
+    # KeyboardInterrupt during the clean-up, and all processes are left running.
     numbers = (signal.SIGTERM, signal.SIGINT)
     before = [signal.getsignal(n) for n in numbers]
     try:
