--- a/tests/stateful/ledger_world.py
+++ b/tests/stateful/ledger_world.py
@@ -11,14 +11,14 @@
 from wayslip import refusals
 from wayslip.decisions import ledger
 
-CAPACITY = 100
+CAPACITY_UNITS = 100
 SIZES = {"a": 30, "b": 40, "c": 50, "d": 25, "e": 60}
-QUARANTINE = 10.0
+QUARANTINE_SECONDS = 10.0
 # Without fences the quarantine covers how long an order may be under way and
 # how old a report may be; each gets half of it.
 ORDER_SECONDS = 5.0
 REPORT_SECONDS = 5.0
-_SNAPSHOTS = 40
+_MAX_SNAPSHOTS = 40
 
 
 @dataclasses.dataclass
@@ -26,16 +26,16 @@
     """A control's soft state; a crash makes a new incarnation."""
 
     name: str
-    life: int = 0
+    incarnation: int = 0
     # Attempts that were written and not sent yet.
     unsent: list = dataclasses.field(default_factory=list)
     # Attempts whose write had no answer.
-    unsure: list = dataclasses.field(default_factory=list)
+    unconfirmed: list = dataclasses.field(default_factory=list)
     waiting: list = dataclasses.field(default_factory=list)
 
     @property
     def sender(self):
-        return f"{self.name}#{self.life}"
+        return f"{self.name}#{self.incarnation}"
 
 
 class LedgerWorld:
@@ -43,21 +43,21 @@
 
     def __init__(self, checks_fence, controls=3):
         self.checks_fence = checks_fence
-        self.stored = ledger.Ledger("e", CAPACITY, checks_fence)
+        self.stored = ledger.Ledger("e", CAPACITY_UNITS, checks_fence)
         self.version = 0
-        self.older = [(0, self.stored)]
+        self.versions = [(0, self.stored)]
         self.boot = 1
         self.fence = 0
         self.memory = {}
         self.snapshots = []
-        self.bag = []
+        self.in_transit = []
         self.answers = []
         self.now = 0.0
         self.serial = 0
         self.controls = [Control(f"c{n}") for n in range(controls)]
         self.steps = 0
         self.loads = 0
-        self._snap()
+        self._take_snapshot()
 
     # The store
 
@@ -68,8 +68,8 @@
         if value != self.stored:
             self.version += 1
             self.stored = value
-            self.older.append((self.version, value))
-            del self.older[:-5]
+            self.versions.append((self.version, value))
+            del self.versions[:-5]
         return None if is_lost else True
 
     def _change(self, step):
@@ -79,12 +79,12 @@
 
     # The engine
 
-    def _snap(self):
+    def _take_snapshot(self):
         residency = ledger.Residency(
             self.boot, self.fence, frozenset(), frozenset(self.memory)
         )
         self.snapshots.append((self.now, residency))
-        del self.snapshots[:-_SNAPSHOTS]
+        del self.snapshots[:-_MAX_SNAPSHOTS]
         return residency
 
     def _apply(self, attempt):
@@ -103,13 +103,13 @@
         self.boot += 1
         self.fence = 0
         self.memory = {}
-        self._snap()
+        self._take_snapshot()
 
     # Controls
 
     def begin(self, control, action, item, staleness, is_lost):
         """Writes an attempt, perhaps on an old read or without an answer."""
-        version, known = self.older[-1 - staleness % len(self.older)]
+        version, known = self.versions[-1 - staleness % len(self.versions)]
         self.serial += 1
         attempt_id = f"x{self.serial}"
         if action is ledger.Action.LOAD:
@@ -126,23 +126,23 @@
             return
         written = self._write(version, wanted, is_lost)
         if written is None:
-            control.unsure.append(attempt_id)
+            control.unconfirmed.append(attempt_id)
         elif written:
             control.unsent.append(self.stored.find_attempt(attempt_id))
 
-    def look_again(self, control):
+    def confirm_writes(self, control):
         """Finds out whether a write without an answer took effect."""
-        for attempt_id in control.unsure:
+        for attempt_id in control.unconfirmed:
             if self.stored.find_attempt(attempt_id) is not None:
                 control.unsent.append(self.stored.find_attempt(attempt_id))
-        control.unsure.clear()
+        control.unconfirmed.clear()
 
     def send(self, control):
         """Sends an attempt, however long after it was written."""
         if not control.unsent:
             return
         attempt = control.unsent.pop(0)
-        self.bag.append(attempt)
+        self.in_transit.append(attempt)
         control.waiting.append(attempt.id)
 
     def withdraw(self, control):
@@ -151,17 +151,17 @@
             self._change(lambda old: old.withdraw(attempt.id))
 
     def deliver(self, index, is_answer_lost):
-        if not self.bag:
+        if not self.in_transit:
             return
-        attempt = self.bag.pop(index % len(self.bag))
+        attempt = self.in_transit.pop(index % len(self.in_transit))
         outcome = self._apply(attempt)
-        residency = self._snap()
+        residency = self._take_snapshot()
         if not is_answer_lost:
             self.answers.append((attempt, outcome, residency))
 
     def drop(self, index):
-        if self.bag:
-            self.bag.pop(index % len(self.bag))
+        if self.in_transit:
+            self.in_transit.pop(index % len(self.in_transit))
 
     def receive(self, index):
         """Has an answer reach its sender, if that still waits."""
@@ -187,9 +187,9 @@
     def crash(self, control):
         """Ends a control; another one notices and gives up its attempts."""
         sender, now = control.sender, self.now
-        control.life += 1
+        control.incarnation += 1
         control.unsent.clear()
-        control.unsure.clear()
+        control.unconfirmed.clear()
         control.waiting.clear()
         self._change(lambda old: old.give_up_sender(sender, now))
 
@@ -197,9 +197,11 @@
         """Takes in a report, perhaps an old one."""
         taken, residency = self.snapshots[-1 - index % len(self.snapshots)]
         if not self.checks_fence and self.now - taken > REPORT_SECONDS:
-            residency = self._snap()
+            residency = self._take_snapshot()
         now = self.now
-        self._change(lambda old: old.observe(residency, now, QUARANTINE))
+        self._change(
+            lambda old: old.observe(residency, now, QUARANTINE_SECONDS)
+        )
 
     def advance(self, seconds):
         """Lets time pass. Orders are not under way for ever: those whose
@@ -211,14 +213,16 @@
             if a.given_up and self.now - a.given_up > ORDER_SECONDS
         }
         if not self.checks_fence:
-            self.bag = [a for a in self.bag if a.id not in given_up]
+            self.in_transit = [
+                a for a in self.in_transit if a.id not in given_up
+            ]
 
     # The truth
 
     def check(self):
         """Fails if memory is overcommitted or something is not charged."""
         used = sum(self.memory.values())
-        assert used <= CAPACITY, f"overcommitted: {self.memory}"
+        assert used <= CAPACITY_UNITS, f"overcommitted: {self.memory}"
         charged = {c.item for c in self.stored.charges}
         assert self.memory.keys() <= charged, "memory is not charged"
 
@@ -255,7 +259,7 @@
                 if rng.random() < 0.3:
                     self.time_out(control)
             case 13:
-                self.look_again(control)
+                self.confirm_writes(control)
                 if rng.random() < 0.1:
                     self.withdraw(control)
             case 14:
--- a/tests/stateful/limit_world.py
+++ b/tests/stateful/limit_world.py
@@ -13,22 +13,22 @@
 from wayslip.decisions import fleet
 
 # Of the platform's rule: when it holds, and over what time.
-CONTACT = 3.0
-TOLD = 0.5
-WINDOW = 4.0
-TROUBLES = (
+CONTACT_SECONDS = 3.0
+NOTICE_SECONDS = 0.5
+WINDOW_SECONDS = 4.0
+FAULTS = (
     order_troubles.kill_holder,
     order_troubles.kill_many,
     order_troubles.isolate_holder,
-    order_troubles.cut_holder_off,
+    order_troubles.disconnect_holder,
     order_troubles.stop_store,
     order_troubles.lose_writes,
     order_troubles.delay_datagrams,
 )
 _LIMITS = (0.3, 1.0, 1.1, 2.0, 5.0)
-_TICK = 0.05
+_TICK_SECONDS = 0.05
 # Requests that come in one moment now and then.
-_CLUMP = 12
+_BURST = 12
 
 
 @dataclasses.dataclass
@@ -51,7 +51,7 @@
         # When a request came, and whether its sender had to heed the limit.
         self.arrivals = []
         # When each process passed on an answer that names a limit, first.
-        self.told = {}
+        self.first_notices = {}
 
     def find_limit(self, at):
         return next(
@@ -65,19 +65,23 @@
         """
         counts = []
         for span in self.spans:
-            came = [
+            arrived = [
                 at
-                for at, is_bound in self.arrivals
-                if is_bound and span.since + CONTACT <= at < span.until
+                for at, must_comply in self.arrivals
+                if must_comply
+                and span.since + CONTACT_SECONDS <= at < span.until
             ]
             counts += [
-                (sum(at <= one < at + WINDOW for one in came), span.limit)
-                for at in came
+                (
+                    sum(at <= one < at + WINDOW_SECONDS for one in arrived),
+                    span.limit,
+                )
+                for at in arrived
             ]
         return counts
 
 
-class Play:
+class Simulation:
     """One seed's limits, requests and troubles."""
 
     def __init__(self, seed, instances, rate):
@@ -88,28 +92,30 @@
         self.engines = [Engine(n) for n in range(3)]
         self.rate = rate
         self.denied = 0
-        self._troubled = {}
+        self._disturbed_at = {}
 
-    async def run(self, seconds, troubles):
+    async def run(self, seconds, fault_rate):
         world = self.world
-        world.keep(asyncio.create_task(self._watch()))
+        world.track_task(asyncio.create_task(self._watch()))
         await asyncio.sleep(4.0)
         for engine in self.engines:
-            world.keep(asyncio.create_task(self._vary(engine)))
-        if troubles:
-            world.keep(asyncio.create_task(self._strike(troubles)))
+            world.track_task(asyncio.create_task(self._vary_limit(engine)))
+        if fault_rate:
+            world.track_task(
+                asyncio.create_task(self._inject_faults(fault_rate))
+            )
         end = world.now + seconds
         while world.now < end:
             await asyncio.sleep(self.rng.expovariate(self.rate))
-            count = _CLUMP if self.rng.random() < 0.02 else 1
+            count = _BURST if self.rng.random() < 0.02 else 1
             for _ in range(count):
-                world.keep(asyncio.create_task(self._ask()))
+                world.track_task(asyncio.create_task(self._send_request()))
         await asyncio.sleep(2.0)
         world.stop()
         await asyncio.sleep(0)
         return self
 
-    async def _vary(self, engine):
+    async def _vary_limit(self, engine):
         """Names a limit, changes it, ends it, for ever."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.0, 6.0))
@@ -119,29 +125,31 @@
                 await asyncio.sleep(self.rng.uniform(8.0, 20.0))
                 span.until = self.world.now
 
-    async def _strike(self, rate):
+    async def _inject_faults(self, rate):
         while True:
             await asyncio.sleep(self.rng.expovariate(rate))
-            self.rng.choice(TROUBLES)(self.world)
+            self.rng.choice(FAULTS)(self.world)
 
     async def _watch(self):
         """Notes who is troubled: the rule excuses these."""
         known = {}
         while True:
             faults = self.world.faults
-            away = faults.isolated | faults.cut_off
+            unreachable = faults.isolated | faults.disconnected
             for instance in self.world.instances.values():
                 name = instance.options.name
-                if known.get(name) is not instance or name in away:
-                    self._troubled[name] = self.world.now
+                if known.get(name) is not instance or name in unreachable:
+                    self._disturbed_at[name] = self.world.now
                 known[name] = instance
-            await asyncio.sleep(_TICK)
+            await asyncio.sleep(_TICK_SECONDS)
 
-    def _is_in_touch(self, instance):
-        troubled = self._troubled.get(instance.options.name, self.world.now)
-        return self.world.now - troubled > CONTACT
+    def _is_in_contact(self, instance):
+        disturbed_at = self._disturbed_at.get(
+            instance.options.name, self.world.now
+        )
+        return self.world.now - disturbed_at > CONTACT_SECONDS
 
-    async def _ask(self):
+    async def _send_request(self):
         instances = list(self.world.instances.values())
         if not instances:
             return
@@ -157,7 +165,7 @@
         await asyncio.sleep(taken.wait)
         sent_at = self.world.now
         await asyncio.sleep(self.rng.uniform(0.001, 0.004))
-        self._arrive(engine, instance)
+        self._record_arrival(engine, instance)
         await asyncio.sleep(self.rng.uniform(0.05, 1.0))
         # Named as the answer leaves; answers overtake one another.
         limit = engine.find_limit(self.world.now)
@@ -168,27 +176,30 @@
             engine.endpoint, limit, sent_at
         )
         if limit is not None:
-            engine.told.setdefault(id(instance), self.world.now)
+            engine.first_notices.setdefault(id(instance), self.world.now)
 
-    def _arrive(self, engine, instance):
+    def _record_arrival(self, engine, instance):
         now = self.world.now
-        told = engine.told.get(id(instance), now)
-        is_bound = now - told >= TOLD and self._is_in_touch(instance)
-        engine.arrivals.append((now, is_bound))
+        first_notices = engine.first_notices.get(id(instance), now)
+        must_comply = (
+            now - first_notices >= NOTICE_SECONDS
+            and self._is_in_contact(instance)
+        )
+        engine.arrivals.append((now, must_comply))
 
 
-def play(seed, seconds=60.0, troubles=0.0, instances=7, rate=25.0):
+def simulate(seed, seconds=60.0, fault_rate=0.0, instances=7, rate=25.0):
     """Plays a seed; returns what was played.
 
     Args:
         seed: Of all that is drawn.
         seconds: How long requests come.
-        troubles: A second.
+        fault_rate: A second.
         instances: How many there are.
         rate: Requests a second, over all engines.
     """
 
     async def body():
-        return await Play(seed, instances, rate).run(seconds, troubles)
+        return await Simulation(seed, instances, rate).run(seconds, fault_rate)
 
     return simulated_loop.run(body())
--- a/tests/stateful/order_engine.py
+++ b/tests/stateful/order_engine.py
@@ -14,16 +14,16 @@
 SERVICE = "s"
 MODEL_MB = 70_000.0
 ADAPTER_MB = 66.0
-ROOM_MB = 220_000.0
+MEMORY_MB = 220_000.0
 # Few places, so that adapters make way for each other all the time.
-PLACES = 4
+ADAPTER_SLOTS = 4
 MODELS = 10
 ADAPTERS = 8
 # Seconds: between an engine's entries, until one is listed at most, the age
 # of its reports, and the times of loads.
-BEAT = 1.2
-LISTED_MOST = 0.8
-REPORT_LAG = 0.1
+HEARTBEAT_SECONDS = 1.2
+MAX_LISTING_DELAY_SECONDS = 0.8
+REPORT_LAG_SECONDS = 0.1
 LOAD_SECONDS = 4.0
 ADAPTER_SECONDS = 0.1
 
@@ -41,7 +41,7 @@
         )
         for n in range(MODELS)
     }
-    return manifest.Pool(64, 100_000, ROOM_MB, PLACES, 5.0, models)
+    return manifest.Pool(64, 100_000, MEMORY_MB, ADAPTER_SLOTS, 5.0, models)
 
 
 def make_manifest(version=1, routes=0):
@@ -74,33 +74,33 @@
         self.name = name
         self.address = address
         self.models = {m: set() for m in models}
-        self.coming = {}
+        self.pending_adapters = {}
         self.loading = None
         self.unloading = None
         self.orders = 0
         self.in_use = {}
         self.is_alive = True
         self.born = 1
-        self.had = set(models)
+        self.cached = set(models)
         self.history = []
         self.entries = []
-        self.note()
+        self.record_state()
 
     def restart(self):
         """Starts again under its name: it holds and knows nothing."""
         self.born += 1
         self.models = {}
-        self.coming = {}
+        self.pending_adapters = {}
         self.loading = None
         self.unloading = None
         self.orders = 0
         self.in_use = {}
-        self.note()
-        self.list_soon()
+        self.record_state()
+        self.schedule_listing()
 
-    def later(self, seconds, finish, *args):
+    def call_later(self, seconds, finish, *args):
         """Has work of this start finished, unless it starts again."""
-        self.world.later(seconds, self._finish, self.born, finish, args)
+        self.world.call_later(seconds, self._finish, self.born, finish, args)
 
     def _finish(self, born, finish, args):
         if born == self.born:
@@ -113,15 +113,15 @@
             self.orders,
             self.loading is not None or self.unloading is not None,
             {m: frozenset(a) for m, a in self.models.items()},
-            frozenset(self.coming),
+            frozenset(self.pending_adapters),
             self.born,
         )
 
-    def note(self):
+    def record_state(self):
         self.history.append((self.world.now, self.state()))
 
     def report(self):
-        limit = self.world.now - REPORT_LAG
+        limit = self.world.now - REPORT_LAG_SECONDS
         older = [s for at, s in self.history if at <= limit]
         if len(older) > 20:
             self.history = self.history[-10:]
@@ -135,38 +135,38 @@
             "h",
             64,
             models={m: frozenset(a) for m, a in self.models.items()},
-            on_disk=frozenset(self.had),
+            on_disk=frozenset(self.cached),
             born=self.born,
         )
 
-    async def beat(self):
+    async def run_heartbeats(self):
         """Writes its entry now and then; old ones may come after newer."""
         while self.is_alive:
-            self.list_soon()
-            await asyncio.sleep(BEAT)
+            self.schedule_listing()
+            await asyncio.sleep(HEARTBEAT_SECONDS)
 
-    def list_soon(self):
+    def schedule_listing(self):
         rng = self.world.rng
         entry = self.entry()
         self.entries = [*self.entries[-3:], entry]
-        delay = rng.uniform(0, LISTED_MOST)
-        self.world.later(delay, self.list, entry)
-        if rng.random() < self.world.faults.old_entry:
+        delay = rng.uniform(0, MAX_LISTING_DELAY_SECONDS)
+        self.world.call_later(delay, self.write_entry, entry)
+        if rng.random() < self.world.faults.stale_entry:
             old = rng.choice(self.entries)
-            self.world.later(delay + rng.uniform(0, 2.0), self.list, old)
+            self.world.call_later(delay + rng.uniform(0, 2.0), self.write_entry, old)
 
-    def list(self, entry):
+    def write_entry(self, entry):
         if self.is_alive:
             self.world.store.put("servers", self.name, entry)
 
     # Requests
 
-    def use(self, model, adapter, seconds):
+    def mark_in_use(self, model, adapter, seconds):
         end = self.world.now + seconds
         for item in ((model, ""), (model, adapter)):
             self.in_use[item] = max(self.in_use.get(item, 0.0), end)
 
-    def used_until(self, item):
+    def find_use_end(self, item):
         items = [i for i in self.in_use if i[0] == item[0]]
         if item[1]:
             items = [item]
@@ -184,55 +184,55 @@
         item = (order.model, order.adapter)
         if order.action is lease.Action.UNLOAD:
             return self.unload(item)
-        self.check(order)
+        self.check_capacity(order)
         self.orders += 1
         if order.adapter:
             seconds = self.world.adapter_seconds
             seconds *= self.world.rng.uniform(0.1, 2.0)
-            self.coming[item] = self.world.now + seconds
-            self.later(seconds, self.finish_adapter, item)
+            self.pending_adapters[item] = self.world.now + seconds
+            self.call_later(seconds, self.finish_adapter, item)
         else:
             self.loading = order.model
-            seconds = 1.0 if order.model in self.had else LOAD_SECONDS
-            self.later(seconds, self.finish_load)
-        self.note()
+            seconds = 1.0 if order.model in self.cached else LOAD_SECONDS
+            self.call_later(seconds, self.finish_load)
+        self.record_state()
         return engines_module.OrderOutcome.TAKEN
 
     def answer_known(self, order):
         """Answers what holds or is under way, whatever count it names."""
         item = (order.model, order.adapter)
         held = self.models.get(order.model)
-        is_there = held is not None and (
+        is_held = held is not None and (
             not order.adapter or order.adapter in held
         )
         outcomes = engines_module.OrderOutcome
         if order.action is lease.Action.UNLOAD:
             if item == self.unloading:
                 return outcomes.TAKEN
-            return None if is_there else outcomes.HELD
+            return None if is_held else outcomes.HELD
         if order.adapter and held is None:
             return outcomes.ELSEWHERE
-        if item in self.coming or (self.loading, "") == item:
+        if item in self.pending_adapters or (self.loading, "") == item:
             return outcomes.TAKEN
-        return outcomes.HELD if is_there else None
+        return outcomes.HELD if is_held else None
 
-    def check(self, order):
+    def check_capacity(self, order):
         items = [(m, a) for m, held in self.models.items() for a in held]
-        places = len({*items, *self.coming}) + bool(order.adapter)
+        slots = len({*items, *self.pending_adapters}) + bool(order.adapter)
         models = len(self.models) + (not order.adapter)
-        if models * MODEL_MB > ROOM_MB or places > PLACES:
-            self.world.note_over(self, order)
+        if models * MODEL_MB > MEMORY_MB or slots > ADAPTER_SLOTS:
+            self.world.record_overcommit(self, order)
 
     def unload(self, item):
         self.orders += 1
-        end = self.used_until(item)
+        end = self.find_use_end(item)
         if item[1] and end <= self.world.now:
             self.models[item[0]].discard(item[1])
-            self.note()
+            self.record_state()
             return engines_module.OrderOutcome.HELD
         self.unloading = item
-        self.later(max(end - self.world.now, 0.05), self.finish_unload)
-        self.note()
+        self.call_later(max(end - self.world.now, 0.05), self.finish_unload)
+        self.record_state()
         return engines_module.OrderOutcome.TAKEN
 
     def finish_unload(self):
@@ -242,19 +242,22 @@
             self.models[model].discard(adapter)
         else:
             del self.models[model]
-            for item in [i for i in self.coming if i[0] == model]:
-                del self.coming[item]
-        self.note()
-        self.list_soon()
+            for item in [i for i in self.pending_adapters if i[0] == model]:
+                del self.pending_adapters[item]
+        self.record_state()
+        self.schedule_listing()
 
     def finish_load(self):
         self.models[self.loading] = set()
-        self.had.add(self.loading)
+        self.cached.add(self.loading)
         self.loading = None
-        self.note()
-        self.list_soon()
+        self.record_state()
+        self.schedule_listing()
 
     def finish_adapter(self, item):
-        if self.coming.pop(item, None) is not None and item[0] in self.models:
+        if (
+            self.pending_adapters.pop(item, None) is not None
+            and item[0] in self.models
+        ):
             self.models[item[0]].add(item[1])
-        self.note()
+        self.record_state()
--- a/tests/stateful/order_network.py
+++ b/tests/stateful/order_network.py
@@ -12,8 +12,8 @@
 from wayslip.gateway import store as store_module
 
 # What a caller of the store or an engine waits for an answer, seconds.
-STORE_PATIENCE = 0.5
-ENGINE_PATIENCE = 0.7
+STORE_TIMEOUT_SECONDS = 0.5
+ENGINE_TIMEOUT_SECONDS = 0.7
 
 
 @dataclasses.dataclass
@@ -29,8 +29,8 @@
     datagram_lost: float = 0.01
     datagram_slow: float = 0.0
     is_store_down: bool = False
-    old_entry: float = 0.1
-    cut_off: set = dataclasses.field(default_factory=set)
+    stale_entry: float = 0.1
+    disconnected: set = dataclasses.field(default_factory=set)
     isolated: set = dataclasses.field(default_factory=set)
 
 
@@ -41,11 +41,11 @@
         self._world = world
         self.bytes_per_s = bytes_per_s
         self._free_at = 0.0
-        self.carried = 0
+        self.transferred_bytes = 0
 
-    async def carry(self, size):
+    async def transfer(self, size):
         """Returns once so many bytes have gone through."""
-        self.carried += size
+        self.transferred_bytes += size
         began = max(self._free_at, self._world.now)
         self._free_at = began + size / self.bytes_per_s
         await asyncio.sleep(self._free_at - self._world.now)
@@ -76,21 +76,23 @@
         self.sizes = {}
         self.changed = asyncio.Event()
 
-    def keep_backup(self):
+    def save_backup(self):
         objects = {kind: dict(found) for kind, found in self.objects.items()}
         self._backup = (self.revision, objects, list(self.events))
 
-    def return_to_backup(self):
+    def restore_backup(self):
         """Loses what was written since; engines and operator write again."""
         lost = self.objects
         self.revision, self.objects, self.events = self._backup
         self.era += 1
-        self.keep_backup()
+        self.save_backup()
         for kind in ("servers", "config"):
             delay = self.world.rng.uniform(0.1, 1.5)
-            self.world.later(delay, self._write_again, kind, lost.get(kind, {}))
+            self.world.call_later(
+                delay, self._rewrite, kind, lost.get(kind, {})
+            )
 
-    def _write_again(self, kind, lost):
+    def _rewrite(self, kind, lost):
         for name, (_, value) in lost.items():
             self.put(kind, name, value)
         for name in list(self.objects.get(kind, {})):
@@ -103,13 +105,13 @@
             return known[0]
         self.revision += 1
         self.objects[kind][name] = (self.revision, value)
-        self._tell(kind, name, value)
+        self._publish(kind, name, value)
         return self.revision
 
     def drop(self, kind, name):
         if self.objects.get(kind, {}).pop(name, None) is not None:
             self.revision += 1
-            self._tell(kind, name, None)
+            self._publish(kind, name, None)
 
     def count_calls(self, since, until, **wanted):
         """Returns how many calls of some kind came in a span of time."""
@@ -119,7 +121,7 @@
             for call in self.calls
         )
 
-    def _tell(self, kind, name, value):
+    def _publish(self, kind, name, value):
         self.events.append((self.revision, kind, name, value))
         self.changed.set()
         self.changed = asyncio.Event()
@@ -149,7 +151,7 @@
     def on_restore(self, listener):
         self._listeners.append(listener)
 
-    def _hear(self, era):
+    def _process_era(self, era):
         """Takes in an answer's era, as the platform's client does."""
         if self._era is not None and era < self._era:
             raise errors.ObjectUnavailableError("an earlier era", "wait")
@@ -163,24 +165,24 @@
         if position.find_era(revision) != era:
             raise error("another era", "read again")
 
-    async def _reach(self, verb, kind, may_be_stale=False):
+    async def _begin_call(self, verb, kind, may_be_stale=False):
         world = self._world
         call = Call(world.now, verb, kind.name, may_be_stale)
         self._store.calls.append(call)
-        await self._travel()
+        await self._delay()
 
-    async def _travel(self):
+    async def _delay(self):
         world = self._world
         faults = world.faults
         await asyncio.sleep(world.rng.uniform(0.002, 0.01))
-        away = faults.cut_off | faults.isolated
-        if faults.is_store_down or self._owner in away:
-            await asyncio.sleep(world.rng.choice((0.01, STORE_PATIENCE)))
+        unreachable = faults.disconnected | faults.isolated
+        if faults.is_store_down or self._owner in unreachable:
+            await asyncio.sleep(world.rng.choice((0.01, STORE_TIMEOUT_SECONDS)))
             raise errors.ObjectUnavailableError("no answer", "wait")
 
     async def list(self, kind, may_be_stale=False):
         began = self._world.now
-        await self._reach("list", kind, may_be_stale)
+        await self._begin_call("list", kind, may_be_stale)
         era = self._store.era
         found = self._store.objects.get(kind.name, {})
         items = [
@@ -189,7 +191,7 @@
         ]
         revision = self._store.revision
         await self._receive(kind, len(items))
-        self._hear(era)
+        self._process_era(era)
         return store_module.Listing(
             tuple(items), position.make(era, revision), began
         )
@@ -198,7 +200,7 @@
         expired = errors.WatchExpiredError
         self._check(revision, self.era, expired)
         since = position.find_revision(revision)
-        await self._reach("watch", kind)
+        await self._begin_call("watch", kind)
         end = self._world.now + wait
         while True:
             found = [
@@ -216,9 +218,9 @@
                 pass
         era, seen = self._store.era, self._store.revision
         seen_at = self._world.now
-        await self._travel()
+        await self._delay()
         await self._receive(kind, len(found))
-        self._check(revision, self._hear(era), expired)
+        self._check(revision, self._process_era(era), expired)
         if since > seen:
             raise expired("410", "list again")
         return store_module.Changes(
@@ -229,11 +231,11 @@
         """Waits until objects of a kind have come over our link."""
         size = self._store.sizes.get(kind.name, 0)
         if size and count:
-            await self._world.links[self._owner].carry(size * count)
+            await self._world.links[self._owner].transfer(size * count)
 
     async def get(self, kind, name, may_be_stale=False):
-        await self._reach("get", kind, may_be_stale)
-        era = self._hear(self._store.era)
+        await self._begin_call("get", kind, may_be_stale)
+        era = self._process_era(self._store.era)
         found = self._store.objects.get(kind.name, {}).get(name)
         if not found:
             return None
@@ -254,27 +256,27 @@
 
     async def remove(self, kind, name, revision):
         self._check(revision, self.era, errors.ObjectConflictError)
-        await self._reach("remove", kind)
-        self._hear(self._store.era)
+        await self._begin_call("remove", kind)
+        self._process_era(self._store.era)
         self._store.drop(kind.name, name)
 
     async def _write(self, kind, name, revision, value):
-        await self._reach("write", kind)
+        await self._begin_call("write", kind)
         rng, faults = self._world.rng, self._world.faults
         if rng.random() < faults.write_late:
             delay = rng.uniform(1.0, 6.0)
-            self._world.later(
+            self._world.call_later(
                 delay, self._write_late, kind.name, name, revision, value
             )
-            await asyncio.sleep(STORE_PATIENCE)
+            await asyncio.sleep(STORE_TIMEOUT_SECONDS)
             raise errors.ObjectUnavailableError("no answer", "wait")
         era = self._store.era
         try:
             new = self._store.write(kind.name, name, revision, value)
         finally:
-            self._hear(era)
+            self._process_era(era)
         if rng.random() < faults.write_lost:
-            await asyncio.sleep(STORE_PATIENCE)
+            await asyncio.sleep(STORE_TIMEOUT_SECONDS)
             raise errors.ObjectUnavailableError("no answer", "wait")
         return store_module.Stored(name, position.make(era, new), value)
 
@@ -292,11 +294,11 @@
         self._world = world
         self._owner = owner
 
-    async def _travel(self):
+    async def _delay(self):
         rng, faults = self._world.rng, self._world.faults
         seconds = rng.uniform(0.001, 0.005)
         if rng.random() < faults.report_slow:
-            seconds = rng.uniform(0.0, ENGINE_PATIENCE)
+            seconds = rng.uniform(0.0, ENGINE_TIMEOUT_SECONDS)
         await asyncio.sleep(seconds)
 
     def _find(self, endpoint):
@@ -307,10 +309,10 @@
 
     async def report(self, endpoint):
         try:
-            async with asyncio.timeout(ENGINE_PATIENCE):
-                await self._travel()
+            async with asyncio.timeout(ENGINE_TIMEOUT_SECONDS):
+                await self._delay()
                 state = self._find(endpoint).report()
-                await self._travel()
+                await self._delay()
                 return state
         except TimeoutError as e:
             raise errors.EndpointError("no answer", "wait") from e
@@ -319,24 +321,26 @@
         world = self._world
         rng, faults = world.rng, world.faults
         unknown = engines_module.OrderOutcome.UNKNOWN
-        await self._travel()
+        await self._delay()
         try:
             engine = self._find(endpoint)
         except errors.EndpointError:
             return unknown
         if rng.random() < faults.order_lost:
-            await asyncio.sleep(ENGINE_PATIENCE)
+            await asyncio.sleep(ENGINE_TIMEOUT_SECONDS)
             return unknown
         if rng.random() < faults.order_late:
-            world.later(rng.uniform(0.5, 12.0), world.arrive, engine, order)
-            await asyncio.sleep(ENGINE_PATIENCE)
+            world.call_later(
+                rng.uniform(0.5, 12.0), world.deliver_order, engine, order
+            )
+            await asyncio.sleep(ENGINE_TIMEOUT_SECONDS)
             return unknown
-        world.note_order(engine, self._owner, authority.token)
-        outcome = world.arrive(engine, order)
+        world.record_order(engine, self._owner, authority.token)
+        outcome = world.deliver_order(engine, order)
         if rng.random() < faults.answer_lost:
-            await asyncio.sleep(rng.choice((0.01, ENGINE_PATIENCE)))
+            await asyncio.sleep(rng.choice((0.01, ENGINE_TIMEOUT_SECONDS)))
             return unknown
-        await self._travel()
+        await self._delay()
         return outcome
 
 
@@ -351,20 +355,20 @@
         world = self._world
         await asyncio.sleep(world.rng.uniform(0.002, 0.01))
         other = world.instances.get((address[0], 1))
-        away = world.faults.isolated
-        if other is None or away & {self._owner, other.options.name}:
-            await asyncio.sleep(STORE_PATIENCE)
+        unreachable = world.faults.isolated
+        if other is None or unreachable & {self._owner, other.options.name}:
+            await asyncio.sleep(STORE_TIMEOUT_SECONDS)
             raise errors.EndpointUnclearError("no answer", "ask another")
         data = other.gateway._configuration_sync.distribution.serve_copy(
             version
         )
         if data:
-            await world.links[other.options.name].carry(len(data))
-            await world.links[self._owner].carry(len(data))
+            await world.links[other.options.name].transfer(len(data))
+            await world.links[self._owner].transfer(len(data))
         return data or b""
 
 
-class Wire:
+class Transport:
     """Stands in for the datagram transport of one gateway's hub."""
 
     def __init__(self, world, owner, address):
@@ -386,9 +390,9 @@
         delay = rng.uniform(0.0005, 0.003)
         if rng.random() < faults.datagram_slow:
             delay = rng.uniform(0.0, 1.5)
-        world.later(delay, self._arrive, data, address)
+        world.call_later(delay, self._deliver, data, address)
 
-    def _arrive(self, data, address):
+    def _deliver(self, data, address):
         world = self._world
         receiver = world.instances.get(address)
         ends = {self._owner, receiver and receiver.options.name}
--- a/tests/stateful/order_world.py
+++ b/tests/stateful/order_world.py
@@ -55,7 +55,7 @@
                 self.gateway._planner.run(),
                 self.gateway._announcer.run(self.gateway._find_store_progress),
                 self.gateway._quarantine.run(),
-                self._ask(),
+                self._send_requests(),
             )
         ]
 
@@ -65,7 +65,7 @@
             self.options, callers="127.0.0.1:1", readiness="127.0.0.1:1"
         )
         gateway = daemon.Gateway(options, platform)
-        gateway._hub._transport = order_network.Wire(
+        gateway._hub._transport = order_network.Transport(
             self.world, self.options.name, self.address
         )
         hub = gateway._hub
@@ -85,7 +85,7 @@
         for task in self.tasks:
             task.cancel()
 
-    async def _ask(self):
+    async def _send_requests(self):
         """Plays requests: to an engine that holds their adapter, or a wish."""
         rng = self.world.rng
         while True:
@@ -101,11 +101,11 @@
                 task = asyncio.create_task(
                     placement.request_item(order_engine.SERVICE, traits, 0.4)
                 )
-                self.world.keep(task)
+                self.world.track_task(task)
                 continue
             engine = self.world.engines.get(name)
             if engine is not None:
-                engine.use(model, adapter, rng.uniform(0.1, 1.5))
+                engine.mark_in_use(model, adapter, rng.uniform(0.1, 1.5))
 
     def _find(self, model, adapter):
         view = self.gateway.view
@@ -136,16 +136,16 @@
         # Of instances by number; the others have one.
         self.cores = cores or {}
         # Bytes a second, of instances by number; the others have 1 Gbit/s.
-        self.rates = links or {}
+        self.link_rates = links or {}
         self.links = {}
         self.faults = order_network.Faults()
         self.adapter_seconds = order_engine.ADAPTER_SECONDS
-        self.over = []
+        self.overcommits = []
         # Orders as they arrived: when, at which engine, whose, which token.
         self.orders = []
-        self.taken = 0
+        self.orders_taken = 0
         self.restarts = 0
-        self.shift = 0
+        self.demand_shift = 0
         self.started = 0
         self.store = order_network.Store(self)
         self.store.put("config", "main", order_engine.make_manifest())
@@ -161,17 +161,17 @@
     def now(self):
         return self.loop.time()
 
-    def later(self, seconds, call, *args):
+    def call_later(self, seconds, call, *args):
         self.loop.call_later(seconds, call, *args)
 
-    def keep(self, task):
+    def track_task(self, task):
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def draw_item(self):
         """Draws a model and an adapter; which are asked for moves on."""
         rank = min(int(self.rng.expovariate(0.5)), order_engine.MODELS - 1)
-        model = f"m{(rank + self.shift) % order_engine.MODELS}"
+        model = f"m{(rank + self.demand_shift) % order_engine.MODELS}"
         return model, f"a{self.rng.randint(1, order_engine.ADAPTERS)}"
 
     # Engines
@@ -186,33 +186,35 @@
             self, name, f"10.0.0.{self.started}:1", models
         )
         self.engines[name] = engine
-        self.keep(self.loop.create_task(engine.beat()))
+        self.track_task(self.loop.create_task(engine.run_heartbeats()))
 
     def remove_engine(self):
         name = self.rng.choice(list(self.engines))
         self.engines.pop(name).is_alive = False
-        self.later(self.rng.uniform(0.5, 4.0), self.store.drop, "servers", name)
+        self.call_later(
+            self.rng.uniform(0.5, 4.0), self.store.drop, "servers", name
+        )
         self.add_engine()
 
-    def arrive(self, engine, order):
+    def deliver_order(self, engine, order):
         if not engine.is_alive:
             return engines_module.OrderOutcome.ELSEWHERE
         outcome = engine.take(order)
-        self.taken += outcome is engines_module.OrderOutcome.TAKEN
+        self.orders_taken += outcome is engines_module.OrderOutcome.TAKEN
         return outcome
 
-    def note_order(self, engine, owner, token):
+    def record_order(self, engine, owner, token):
         self.orders.append((self.now, engine.name, owner, token))
 
-    def note_over(self, engine, order):
-        self.over.append((round(self.now - 1000, 3), engine.name, order))
+    def record_overcommit(self, engine, order):
+        self.overcommits.append((round(self.now - 1000, 3), engine.name, order))
 
     # Instances
 
     def start(self, number):
         address = (f"10.0.1.{number}", 1)
         name = f"g{number}"
-        rate = self.rates.get(number, FAST_LINK)
+        rate = self.link_rates.get(number, FAST_LINK)
         self.links[name] = order_network.Link(self, rate)
         self.instances[address] = Instance(
             self, name, address, self.cores.get(number, 1.0)
@@ -222,7 +224,7 @@
         instance = self.instances.pop((f"10.0.1.{number}", 1), None)
         if instance is not None:
             instance.kill()
-            self.later(self.rng.uniform(0.3, 4.0), self.start, number)
+            self.call_later(self.rng.uniform(0.3, 4.0), self.start, number)
 
     def find_holder(self):
         for (host, _), instance in self.instances.items():
--- a/tests/stateful/quota_world.py
+++ b/tests/stateful/quota_world.py
@@ -19,14 +19,14 @@
 from wayslip.gateway import limits
 from wayslip.gateway import quota_accounts
 
-STEP = 0.01
-REPORT = 0.25
-STATE = 0.25
-WINDOW = 8.0
-OVER = 0.1
-SLACK = 17_000.0
-PROMPT = 2_400
-ALLOWANCE = quota.Allowance(WINDOW, OVER, SLACK)
+STEP_SECONDS = 0.01
+REPORT_SECONDS = 0.25
+STATE_SECONDS = 0.25
+WINDOW_SECONDS = 8.0
+TOLERANCE = 0.1
+SLACK_UNITS = 17_000.0
+PROMPT_UNITS = 2_400
+ALLOWANCE = quota.Allowance(WINDOW_SECONDS, TOLERANCE, SLACK_UNITS)
 
 
 class Clock:
@@ -47,7 +47,7 @@
     process: int = 0
     number: int = 0
     due: float = 0.0
-    is_cut: bool = False
+    is_isolated: bool = False
     # Whom it reports to: the holder that it heard last.
     holder: int = 0
     term: int = 0
@@ -81,19 +81,19 @@
         }
         self.version = 1
         self.instances = [self._start(f"i{n}", 0) for n in range(count)]
-        self.homes = {
+        self.assigned_instances = {
             name: self.rng.choices(range(count), k=11) for name in rates
         }
         self.holder = 0
         self.term = 1
-        self.told = ()
+        self.announced = ()
         self.state_due = 0.0
         self._messages = []
-        self._order = 0
+        self._sequence = 0
         self.sent = collections.defaultdict(list)
         self.refused = collections.Counter()
-        self.asked = collections.Counter()
-        self._left = {n: (r, self.clock.at) for n, r in rates.items()}
+        self.requested = collections.Counter()
+        self._remaining = {n: (r, self.clock.at) for n, r in rates.items()}
         self._begin_term()
         # Instances hear the holder before their clients come.
         self.run(3.0, {})
@@ -130,11 +130,11 @@
         old = self.instances[number]
         self.instances[number] = self._start(old.name, old.process + 1)
 
-    def hand_over(self, number):
+    def transfer_lease(self, number):
         """Has another instance take the lease."""
         self.holder = number
         self.term += 1
-        self.told = ()
+        self.announced = ()
         self._begin_term()
         self.state_due = self.clock.at
 
@@ -148,79 +148,81 @@
 
     # Time
 
-    def run(self, seconds, demand, cuts=()):
+    def run(self, seconds, demand, isolated=()):
         """Plays on.
 
         Args:
             seconds: How long.
             demand: Units a second that each organisation asks for.
-            cuts: Instances that hear and are heard by nobody.
+            isolated: Instances that hear and are heard by nobody.
         """
         for number, instance in enumerate(self.instances):
-            instance.is_cut = number in cuts
+            instance.is_isolated = number in isolated
         end = self.clock.at + seconds
         with self._patch_time():
             while self.clock.at < end:
-                self.clock.at += STEP
+                self.clock.at += STEP_SECONDS
                 self._deliver()
                 for name, rate in demand.items():
-                    self._ask(name, rate)
-                self._talk()
+                    self._send_requests(name, rate)
+                self._exchange_messages()
 
-    def _ask(self, name, rate):
-        mean = rate * STEP / PROMPT
+    def _send_requests(self, name, rate):
+        mean = rate * STEP_SECONDS / PROMPT_UNITS
         while mean > 0:
             if self.rng.random() < min(mean, 1.0):
-                self._ask_once(name)
+                self._send_request(name)
             mean -= 1.0
 
-    def _ask_once(self, name):
-        units = self.rng.uniform(0.2, 1.8) * PROMPT
-        home = self.rng.choice(self.homes[name])
+    def _send_request(self, name):
+        units = self.rng.uniform(0.2, 1.8) * PROMPT_UNITS
+        assigned = self.rng.choice(self.assigned_instances[name])
         organisation = self.organisations[name]
-        wait = self.instances[home].limiter.admit(organisation, units)
-        self.asked[name] += units
-        left = self._find_left(name)
+        wait = self.instances[assigned].limiter.admit(organisation, units)
+        self.requested[name] += units
+        remaining = self._find_remaining(name)
         if wait is None:
             self.sent[name].append((self.clock.at, units))
-            self._left[name] = (left - units, self.clock.at)
-        elif left >= units:
+            self._remaining[name] = (remaining - units, self.clock.at)
+        elif remaining >= units:
             self.refused[name] += units
 
-    def _find_left(self, name):
+    def _find_remaining(self, name):
         """Returns what the quota leaves after all that was sent on."""
-        level, at = self._left[name]
+        level, at = self._remaining[name]
         rate = self.organisations[name].quota.rate
         return min(level + rate * (self.clock.at - at), rate)
 
-    def _talk(self):
+    def _exchange_messages(self):
         now = self.clock.at
         for instance in self.instances:
-            is_hasty = instance.limiter.is_report_due
-            if now >= instance.due or is_hasty:
-                instance.due = now + REPORT
+            is_early = instance.limiter.is_report_due
+            if now >= instance.due or is_early:
+                instance.due = now + REPORT_SECONDS
                 self._report(instance)
         if self.holder is None:
             return
         holder = self.instances[self.holder]
-        if now >= self.state_due or holder.accounts.should_announce(self.told):
-            self.state_due = now + STATE
-            self.told = holder.accounts.list_levels()
+        if now >= self.state_due or holder.accounts.should_announce(
+            self.announced
+        ):
+            self.state_due = now + STATE_SECONDS
+            self.announced = holder.accounts.list_levels()
             for instance in self.instances:
                 self._send(holder, instance, self._make_state())
 
     def _make_state(self):
-        seen = facts.WatchProgress(0, 0.0)
+        progress = facts.WatchProgress(0, 0.0)
         return facts.State(
             self.term,
             self.holder,
             "",
             True,
             1,
-            seen,
-            seen,
+            progress,
+            progress,
             (),
-            levels=self.told,
+            levels=self.announced,
         )
 
     def _report(self, instance):
@@ -242,11 +244,11 @@
     def _send(self, source, target, message):
         if source is not target:
             is_lost = self.rng.random() < self.loss
-            if source.is_cut or target.is_cut or is_lost:
+            if source.is_isolated or target.is_isolated or is_lost:
                 return
         at = self.clock.at + self.rng.uniform(0.005, self.delay)
-        self._order += 1
-        heapq.heappush(self._messages, (at, self._order, target, message))
+        self._sequence += 1
+        heapq.heappush(self._messages, (at, self._sequence, target, message))
 
     def _deliver(self):
         while self._messages and self._messages[0][0] <= self.clock.at:
@@ -266,17 +268,17 @@
         Below zero where it stays beneath.
         """
         rate = self.rates[name]
-        allowed = (rate * WINDOW + rate) * (1 + OVER) + SLACK
+        allowed = (rate * WINDOW_SECONDS + rate) * (1 + TOLERANCE) + SLACK_UNITS
         worst, total = 0.0, 0.0
         window = collections.deque()
         for at, units in self.sent[name]:
             window.append((at, units))
             total += units
-            while window[0][0] < at - WINDOW:
+            while window[0][0] < at - WINDOW_SECONDS:
                 total -= window.popleft()[1]
             worst = max(worst, total)
         return worst - allowed
 
     def find_wrongly_refused(self, name):
         """Returns the share of the units that were refused beneath a quota."""
-        return self.refused[name] / max(self.asked[name], 1.0)
+        return self.refused[name] / max(self.requested[name], 1.0)
--- a/tests/stateful/suspect_world.py
+++ b/tests/stateful/suspect_world.py
@@ -13,20 +13,20 @@
 from wayslip import errors
 from wayslip.decisions import fleet
 
-DEADLY = (b"deadly-1", b"deadly-2")
-COMMON = b"common"
+POISON = (b"deadly-1", b"deadly-2")
+ANSWERED = b"common"
 # An instance is in touch once nothing has troubled it for so long, seconds.
-CONTACT = 3.0
-TROUBLES = (
+CONTACT_SECONDS = 3.0
+FAULTS = (
     order_troubles.kill_holder,
     order_troubles.kill_many,
     order_troubles.isolate_holder,
-    order_troubles.cut_holder_off,
+    order_troubles.disconnect_holder,
     order_troubles.stop_store,
     order_troubles.lose_writes,
     order_troubles.delay_datagrams,
 )
-_TICK = 0.05
+_TICK_SECONDS = 0.05
 
 
 @dataclasses.dataclass
@@ -43,17 +43,17 @@
 
     def __init__(self, number):
         self.number = number
-        self.starts = 1
+        self.incarnation = 1
         self.is_alive = True
         self.sent = []
 
     @property
     def endpoint(self):
-        name = f"x{self.number}-{self.starts}"
+        name = f"x{self.number}-{self.incarnation}"
         return fleet.Endpoint(name, "models", "10.0.9.9:1", "h")
 
-    def start_again(self):
-        self.starts += 1
+    def restart(self):
+        self.incarnation += 1
         self.is_alive = True
 
 
@@ -62,24 +62,24 @@
 
 
 @dataclasses.dataclass
-class Record:
+class ContentRecord:
     """What happened to one content: ends, and sends by those in touch.
 
     Each attempt at it that was on its way to an engine that ended counts.
     """
 
-    ends: list = dataclasses.field(default_factory=list)
+    crashes: list = dataclasses.field(default_factory=list)
     sends: list = dataclasses.field(default_factory=list)
     refused: list = dataclasses.field(default_factory=list)
 
     def list_sends(self, seconds):
         """Returns the sends later than so long after the third end."""
-        if len(self.ends) < 3:
+        if len(self.crashes) < 3:
             return []
-        return [at for at in self.sends if at > self.ends[2] + seconds]
+        return [at for at in self.sends if at > self.crashes[2] + seconds]
 
 
-class Play:
+class Simulation:
     """One seed's requests and troubles."""
 
     def __init__(self, seed, engines=5, instances=5):
@@ -90,103 +90,109 @@
         self.engines = [Engine(n) for n in range(engines)]
         self.records = {}
         # When engines ended.
-        self.ends = []
-        self._troubled = {}
+        self.crashes = []
+        self._disturbed_at = {}
         self._number = 0
 
-    async def run(self, seconds, troubles):
+    async def run(self, seconds, fault_rate):
         world = self.world
-        world.keep(asyncio.create_task(self._watch()))
+        world.track_task(asyncio.create_task(self._watch()))
         await asyncio.sleep(4.0)
-        if troubles:
-            world.keep(asyncio.create_task(self._strike(troubles)))
+        if fault_rate:
+            world.track_task(
+                asyncio.create_task(self._inject_faults(fault_rate))
+            )
         end = world.now + seconds
         while world.now < end:
             await asyncio.sleep(self.rng.expovariate(20.0))
-            self._ask()
+            self._send_request()
         await asyncio.sleep(2.0)
         world.stop()
         await asyncio.sleep(0)
         return self
 
-    async def _strike(self, rate):
+    async def _inject_faults(self, rate):
         while True:
             await asyncio.sleep(self.rng.expovariate(rate))
-            self.rng.choice(TROUBLES)(self.world)
+            self.rng.choice(FAULTS)(self.world)
 
     async def _watch(self):
         """Notes who is troubled, so that it is not in touch."""
         known = {}
         while True:
             faults = self.world.faults
-            away = faults.isolated | faults.cut_off
+            unreachable = faults.isolated | faults.disconnected
             for instance in self.world.instances.values():
                 name = instance.options.name
                 is_new = known.get(name) is not instance
                 known[name] = instance
                 if (
                     is_new
-                    or name in away
+                    or name in unreachable
                     or faults.is_store_down
                     or faults.write_lost
                     or faults.datagram_slow
                 ):
-                    self._troubled[name] = self.world.now
-            await asyncio.sleep(_TICK)
+                    self._disturbed_at[name] = self.world.now
+            await asyncio.sleep(_TICK_SECONDS)
 
-    def _is_in_touch(self, instance):
-        troubled = self._troubled.get(instance.options.name, self.world.now)
-        return self.world.now - troubled > CONTACT
+    def _is_in_contact(self, instance):
+        disturbed_at = self._disturbed_at.get(
+            instance.options.name, self.world.now
+        )
+        return self.world.now - disturbed_at > CONTACT_SECONDS
 
     def _draw_content(self):
         draw = self.rng.random()
         if draw < 0.04:
-            return self.rng.choice(DEADLY)
+            return self.rng.choice(POISON)
         if draw < 0.2:
-            return COMMON
+            return ANSWERED
         self._number += 1
         return b"%d" % self._number
 
-    def _ask(self):
+    def _send_request(self):
         instances = list(self.world.instances.values())
         engines = [e for e in self.engines if e.is_alive]
         if not instances or not engines:
             return
         instance = self.rng.choice(instances)
         content = self._draw_content()
-        record = self.records.setdefault(content, Record())
+        record = self.records.setdefault(content, ContentRecord())
         quarantine = instance.gateway._quarantine
         if quarantine.is_blocked(content) and not quarantine.begin_probe(
             content
         ):
             record.refused.append(self.world.now)
             return
-        if self._is_in_touch(instance):
+        if self._is_in_contact(instance):
             record.sends.append(self.world.now)
         engine = self.rng.choice(engines)
         sent = Sent(content, instance, quarantine.find_depth(content))
         engine.sent.append(sent)
         wait = self.rng.uniform(0.02, 1.2)
-        self.world.later(wait, self._finish, engine, engine.starts, sent)
+        self.world.call_later(
+            wait, self._finish, engine, engine.incarnation, sent
+        )
 
-    def _finish(self, engine, start, sent):
-        if not engine.is_alive or engine.starts != start:
+    def _finish(self, engine, expected_incarnation, sent):
+        if not engine.is_alive or engine.incarnation != expected_incarnation:
             return
-        if sent.content not in DEADLY:
+        if sent.content not in POISON:
             engine.sent.remove(sent)
             self._answer(sent)
             return
         engine.is_alive = False
-        self.ends.append(self.world.now)
+        self.crashes.append(self.world.now)
         broken, engine.sent = engine.sent, []
         for one in broken:
-            if one.content in DEADLY:
-                self.records[one.content].ends.append(self.world.now)
+            if one.content in POISON:
+                self.records[one.content].crashes.append(self.world.now)
             if one.instance in self.world.instances.values():
                 one.instance.gateway._quarantine.note_broken_attempt(
                     engine.endpoint, one.content, one.depth, _refuse
                 )
-        self.world.later(self.rng.uniform(0.3, 3.0), engine.start_again)
+        self.world.call_later(self.rng.uniform(0.3, 3.0), engine.restart)
 
     def _answer(self, sent):
         quarantine = sent.instance.gateway._quarantine
@@ -194,16 +200,16 @@
             quarantine.note_answer(sent.content)
 
 
-def play(seed, seconds=60.0, troubles=0.0):
+def simulate(seed, seconds=60.0, fault_rate=0.0):
     """Plays a seed; returns what was played.
 
     Args:
         seed: Of all that is drawn.
         seconds: How long requests come.
-        troubles: A second.
+        fault_rate: A second.
     """
 
     async def body():
-        return await Play(seed).run(seconds, troubles)
+        return await Simulation(seed).run(seconds, fault_rate)
 
     return simulated_loop.run(body())
--- a/tests/stateful/test_detached_orders.py
+++ b/tests/stateful/test_detached_orders.py
@@ -15,12 +15,14 @@
 from wayslip.decisions import detachment
 from wayslip.decisions import lease
 
-STEP = 0.05
-TELL = 0.25
-DISTANCE = 3.0
-SECONDS = 60.0
-COUNT = 4
-KEEP_AWAY = detachment.HOLD_OFF_SECONDS + DISTANCE + lease.TRANSIT_SECONDS
+STEP_SECONDS = 0.05
+ANNOUNCE_SECONDS = 0.25
+DISTANCE_SECONDS = 3.0
+DURATION_SECONDS = 60.0
+INSTANCE_COUNT = 4
+HOLD_BACK_SECONDS = (
+    detachment.HOLD_OFF_SECONDS + DISTANCE_SECONDS + lease.TRANSIT_SECONDS
+)
 
 
 class Store:
@@ -47,23 +49,23 @@
     def begin(self, now):
         """Starts the process, which knows nothing."""
         self.term = 0
-        self.heard = now
+        self.last_contact = now
         self.yielded = 0
         self.echo = (0, 0.0)
-        self.cut_off = True
-        self.away_until = 0.0
+        self.is_disconnected = True
+        self.held_back_until = 0.0
         # What the process before knew of it is lost; the first of all follows
         # on nobody.
-        self.started_until = now + KEEP_AWAY if now else 0.0
+        self.started_until = now + HOLD_BACK_SECONDS if now else 0.0
         self.claim = (None, 0, now)
         self.held = 0
         self.valid_until = 0.0
-        self.doubtful = False
-        self.words = {}
+        self.renewal_overdue = False
+        self.peer_statuses = {}
         self.missing = {}
         self.state = detachment.NONE
 
-    def take_state(self, term, sent, holds, detached, now):
+    def apply_state(self, term, sent, holds, detached, now):
         if term < self.term:
             return
         if self.held and term > self.held:
@@ -71,35 +73,38 @@
         if self.held:
             return
         self.term = term
-        self.heard = now
+        self.last_contact = now
         self.echo = (term, sent)
         if not holds:
             self.yielded = term
         if detached:
             self.yielded = 0
-            self.away_until = now + KEEP_AWAY
+            self.held_back_until = now + HOLD_BACK_SECONDS
 
-    def take_report(self, name, echo, cut_off, now):
+    def apply_report(self, name, echo, is_disconnected, now):
         self.missing.pop(name, None)
         echoed = echo[1] if echo[0] == self.held else float("-inf")
-        self.words[name] = (now, detachment.PeerStatus(echoed, cut_off))
+        self.peer_statuses[name] = (
+            now,
+            detachment.PeerStatus(echoed, is_disconnected),
+        )
 
     def judge(self, now):
-        for name, (heard, _) in list(self.words.items()):
-            if now - heard > 2.0:
-                del self.words[name]
+        for name, (last_contact, _) in list(self.peer_statuses.items()):
+            if now - last_contact > 2.0:
+                del self.peer_statuses[name]
                 self.missing[name] = now
-        if self.held and not self.doubtful:
+        if self.held and not self.renewal_overdue:
             self.missing = {
                 n: at
                 for n, at in self.missing.items()
                 if now - at <= detachment.MISSING_SECONDS
             }
-        if not self.held or not self.doubtful:
+        if not self.held or not self.renewal_overdue:
             self.state = detachment.NONE
             return
-        words = [word for _, word in self.words.values()]
-        self.state = self.state.judge(words, bool(self.missing), now)
+        peer_statuses = [status for _, status in self.peer_statuses.values()]
+        self.state = self.state.judge(peer_statuses, bool(self.missing), now)
 
 
 class World:
@@ -107,8 +112,8 @@
         self.rng = random.Random(seed)
         self.now = 0.0
         self.store = Store()
-        self.instances = [Instance(n, 0.0) for n in range(COUNT)]
-        self.turned_away = set()
+        self.instances = [Instance(n, 0.0) for n in range(INSTANCE_COUNT)]
+        self.refused_by_store = set()
         self.isolated = set()
         self.orders = []
         self.detached_orders = 0
@@ -116,7 +121,7 @@
     # What reaches whom
 
     def reaches_store(self, one):
-        return one.name not in self.turned_away | self.isolated
+        return one.name not in self.refused_by_store | self.isolated
 
     def reaches(self, one, other):
         if {one.name, other.name} & self.isolated:
@@ -125,17 +130,17 @@
 
     # Faults
 
-    def disturb(self):
+    def inject_faults(self):
         draw = self.rng.random()
-        names = range(COUNT)
+        names = range(INSTANCE_COUNT)
         if draw < 0.006:
-            self.turned_away = set(names)
+            self.refused_by_store = set(names)
         elif draw < 0.009:
-            self.turned_away = set(self.rng.sample(names, 2))
+            self.refused_by_store = set(self.rng.sample(names, 2))
         elif draw < 0.014:
-            self.turned_away = set()
+            self.refused_by_store = set()
         elif draw < 0.016:
-            self.isolated = {self.rng.randrange(COUNT)}
+            self.isolated = {self.rng.randrange(INSTANCE_COUNT)}
         elif draw < 0.022:
             self.isolated = set()
         elif draw < 0.024:
@@ -147,32 +152,36 @@
     # What instances do
 
     def run(self):
-        while self.now < SECONDS:
-            self.disturb()
+        while self.now < DURATION_SECONDS:
+            self.inject_faults()
             running = [i for i in self.instances if i.frozen_until <= self.now]
             for one in running:
-                self.look(one)
+                self.check_lease(one)
                 one.judge(self.now)
                 self.order(one)
-            if round(self.now / STEP) % round(TELL / STEP) == 0:
+            if (
+                round(self.now / STEP_SECONDS)
+                % round(ANNOUNCE_SECONDS / STEP_SECONDS)
+                == 0
+            ):
                 for one in running:
-                    self.tell(one, running)
-            self.now += STEP
+                    self.announce(one, running)
+            self.now += STEP_SECONDS
 
-    def look(self, one):
+    def check_lease(self, one):
         if one.held:
             self.renew(one)
             return
         if not self.reaches_store(one):
-            one.cut_off = True
+            one.is_disconnected = True
             return
-        is_silent = self.now - one.heard >= lease.EXPIRY_SECONDS
-        if not (one.cut_off or is_silent or one.yielded):
+        is_silent = self.now - one.last_contact >= lease.EXPIRY_SECONDS
+        if not (one.is_disconnected or is_silent or one.yielded):
             return
-        one.cut_off = False
+        one.is_disconnected = False
         if self.store.term > one.term:
             one.term = self.store.term
-            one.heard = self.now
+            one.last_contact = self.now
             return
         if one.yielded == self.store.term or is_silent:
             if self.store.holder in (None, one.name):
@@ -180,7 +189,7 @@
             self.store.take(one.name)
             one.term = one.held = self.store.term
             one.valid_until = self.now + lease.HOLD_SECONDS
-            one.words, one.missing = {}, {}
+            one.peer_statuses, one.missing = {}, {}
             one.missing = {
                 i.name: self.now for i in self.instances if i is not one
             }
@@ -192,9 +201,9 @@
                 one.held = 0
                 return
             one.valid_until = self.now + lease.HOLD_SECONDS
-            one.doubtful = False
+            one.renewal_overdue = False
         elif self.now > one.valid_until - lease.HOLD_SECONDS + 0.6:
-            one.doubtful = True
+            one.renewal_overdue = True
 
     def read_claim(self, one):
         holder, revision = self.store.claim
@@ -209,15 +218,15 @@
         if holder is not None:
             claim = lease.Claim("e", str(holder), 1)
             seen = lease.ObservedClaim(claim, revision, since)
-        if self.now < max(one.away_until, one.started_until):
+        if self.now < max(one.held_back_until, one.started_until):
             return
-        if not lease.may_claim(seen, str(one.name), DISTANCE, self.now):
+        if not lease.may_claim(seen, str(one.name), DISTANCE_SECONDS, self.now):
             return
         if one.state.is_granted:
             self.detached_orders += 1
             self.orders.append((self.now, one.name))
             return
-        if one.doubtful or not self.reaches_store(one):
+        if one.renewal_overdue or not self.reaches_store(one):
             return
         if self.store.claim[1] != revision:
             self.read_claim(one)
@@ -227,23 +236,25 @@
         self.read_claim(one)
         self.orders.append((self.now, one.name))
 
-    def tell(self, one, running):
+    def announce(self, one, running):
         for other in running:
             if other is one or not self.reaches(one, other):
                 continue
             if one.held:
                 detached = one.state.proposed_at is not None
-                holds = detached or not one.doubtful
-                other.take_state(one.held, self.now, holds, detached, self.now)
+                holds = detached or not one.renewal_overdue
+                other.apply_state(one.held, self.now, holds, detached, self.now)
             elif other.held == one.term:
-                other.take_report(one.name, one.echo, one.cut_off, self.now)
+                other.apply_report(
+                    one.name, one.echo, one.is_disconnected, self.now
+                )
 
 
-def find_broken(orders):
+def find_violations(orders):
     return [
         (first, second)
         for first, second in zip(orders, orders[1:], strict=False)
-        if first[1] != second[1] and second[0] - first[0] < DISTANCE
+        if first[1] != second[1] and second[0] - first[0] < DISTANCE_SECONDS
     ]
 
 
@@ -253,14 +264,14 @@
     for seed in range(first, first + 50):
         world = World(seed)
         world.run()
-        assert not find_broken(world.orders), seed
+        assert not find_violations(world.orders), seed
         detached += world.detached_orders
     # Otherwise nothing was tested.
     assert detached > 100
 
 
 @pytest.mark.parametrize("seed", [1388, 3879])
-def test_instance_that_started_again_keeps_away_too(seed):
+def test_restarted_instance_holds_back_too(seed):
     # Symptom: two of 2,600 further worlds broke the distance, 1388 and 3879 (of
     # the code before 1561, 2427 and 3879).
     # Sequence of 1388: instance 1 orders the engine at 39 s and writes the
@@ -272,15 +283,15 @@
     world = World(seed)
     world.run()
     assert world.detached_orders
-    assert not find_broken(world.orders)
+    assert not find_violations(world.orders)
 
 
-def test_without_keeping_away_the_distance_is_broken(monkeypatch):
+def test_distance_is_violated_without_holding_back(monkeypatch):
     # Shows that the worlds above reach what keeping away is there for.
-    monkeypatch.setattr(f"{__name__}.KEEP_AWAY", 0.0)
+    monkeypatch.setattr(f"{__name__}.HOLD_BACK_SECONDS", 0.0)
     for seed in range(200):
         world = World(seed)
         world.run()
-        if find_broken(world.orders):
+        if find_violations(world.orders):
             return
     pytest.fail("no world needs it")
--- a/tests/stateful/test_large_configurations.py
+++ b/tests/stateful/test_large_configurations.py
@@ -23,12 +23,12 @@
 from tests.stateful import simulated_loop
 
 _INSTANCES = 40
-_STRONG = range(3)
+_STRONG_INSTANCES = range(3)
 # Of the first report: bytes a second, bytes, and seconds from an
 # acknowledgement until a configuration must be in force.
-_NARROW = 625_000
-_SIZE = 1_050_000
-_BOUND = 3.0
+_NARROW_BYTES_PER_S = 625_000
+_SIZE_BYTES = 1_050_000
+_BOUND_SECONDS = 3.0
 
 
 def _make_world(seed):
@@ -37,10 +37,14 @@
         engines=2,
         instances=_INSTANCES,
         rate=0.01,
-        cores=dict.fromkeys(_STRONG, 4.0),
-        links={n: _NARROW for n in range(_INSTANCES) if n not in _STRONG},
+        cores=dict.fromkeys(_STRONG_INSTANCES, 4.0),
+        links={
+            n: _NARROW_BYTES_PER_S
+            for n in range(_INSTANCES)
+            if n not in _STRONG_INSTANCES
+        },
     )
-    world.store.sizes["config"] = _SIZE
+    world.store.sizes["config"] = _SIZE_BYTES
     return world
 
 
@@ -58,37 +62,39 @@
     return world.now - began
 
 
-async def _play_two_changes(seed):
+async def _simulate_two_changes(seed):
     world = _make_world(seed)
     await asyncio.sleep(10.0)
-    before = sum(link.carried for link in world.links.values())
+    before = sum(link.transferred for link in world.links.values())
     first = asyncio.create_task(_put(world, 2))
     await asyncio.sleep(0.5)
     second = await _put(world, 3)
     await first
-    carried = sum(link.carried for link in world.links.values()) - before
+    transferred = (
+        sum(link.transferred for link in world.links.values()) - before
+    )
     world.stop()
-    return second, carried
+    return second, transferred
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_second_change_is_in_force_in_time(seed):
-    seconds, _ = simulated_loop.run(_play_two_changes(seed))
-    assert seconds < _BOUND / 2
+    seconds, _ = simulated_loop.run(_simulate_two_changes(seed))
+    assert seconds < _BOUND_SECONDS / 2
 
 
-def test_content_of_a_change_is_not_carried_whole_to_each_instance():
-    _, carried = simulated_loop.run(_play_two_changes(7))
+def test_content_of_a_change_is_not_sent_whole_to_each_instance():
+    _, transferred = simulated_loop.run(_simulate_two_changes(7))
     # 76 MB if each reads both from the store.
-    assert carried < 20 * _SIZE
+    assert transferred < 20 * _SIZE_BYTES
 
 
-async def _play_blind(seed):
+async def _simulate_disconnection(seed):
     world = _make_world(seed)
     await asyncio.sleep(10.0)
     holder = f"g{world.find_holder()}"
     others = {i.options.name for i in world.instances.values()} - {holder}
-    world.faults.cut_off = set(sorted(others)[:15])
+    world.faults.disconnected = set(sorted(others)[:15])
     await asyncio.sleep(1.0)
     seconds = await _put(world, 2)
     world.stop()
@@ -96,11 +102,13 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_instance_that_the_store_turns_away_gets_it_from_others(seed):
-    assert simulated_loop.run(_play_blind(seed)) < _BOUND / 2
+def test_instance_disconnected_from_the_store_gets_it_from_others(seed):
+    assert (
+        simulated_loop.run(_simulate_disconnection(seed)) < _BOUND_SECONDS / 2
+    )
 
 
-async def _play_lost_holder(seed):
+async def _simulate_holder_crash(seed):
     """Kills the holder as soon as it has a change."""
     world = _make_world(seed)
     await asyncio.sleep(10.0)
@@ -116,5 +124,5 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_change_is_in_force_in_time_though_the_holder_dies(seed):
-    assert simulated_loop.run(_play_lost_holder(seed)) < _BOUND
+def test_change_is_in_force_in_time_though_the_holder_crashes(seed):
+    assert simulated_loop.run(_simulate_holder_crash(seed)) < _BOUND_SECONDS
--- a/tests/stateful/test_ledger_machine.py
+++ b/tests/stateful/test_ledger_machine.py
@@ -10,7 +10,7 @@
 from tests.stateful import ledger_world
 from wayslip.decisions import ledger
 
-CONTROLS = st.integers(0, 2)
+CONTROL_NUMBERS = st.integers(0, 2)
 ITEMS = st.sampled_from(sorted(ledger_world.SIZES))
 INDEX = st.integers(0, 9)
 
@@ -24,27 +24,27 @@
         self.world.observe(0)
 
     @stateful.rule(
-        who=CONTROLS,
+        number=CONTROL_NUMBERS,
         action=st.sampled_from(list(ledger.Action)),
         item=ITEMS,
         staleness=st.integers(0, 2),
         is_lost=st.booleans(),
     )
-    def begin(self, who, action, item, staleness, is_lost):
-        control = self.world.controls[who]
+    def begin(self, number, action, item, staleness, is_lost):
+        control = self.world.controls[number]
         self.world.begin(control, action, item, staleness, is_lost)
 
-    @stateful.rule(who=CONTROLS)
-    def send(self, who):
-        self.world.send(self.world.controls[who])
+    @stateful.rule(number=CONTROL_NUMBERS)
+    def send(self, number):
+        self.world.send(self.world.controls[number])
 
-    @stateful.rule(who=CONTROLS)
-    def look_again(self, who):
-        self.world.look_again(self.world.controls[who])
+    @stateful.rule(number=CONTROL_NUMBERS)
+    def look_again(self, number):
+        self.world.look_again(self.world.controls[number])
 
-    @stateful.rule(who=CONTROLS)
-    def withdraw(self, who):
-        self.world.withdraw(self.world.controls[who])
+    @stateful.rule(number=CONTROL_NUMBERS)
+    def withdraw(self, number):
+        self.world.withdraw(self.world.controls[number])
 
     @stateful.rule(index=INDEX, is_lost=st.booleans())
     def deliver(self, index, is_lost):
@@ -62,13 +62,13 @@
     def observe(self, index):
         self.world.observe(index)
 
-    @stateful.rule(who=CONTROLS)
-    def time_out(self, who):
-        self.world.time_out(self.world.controls[who])
+    @stateful.rule(number=CONTROL_NUMBERS)
+    def time_out(self, number):
+        self.world.time_out(self.world.controls[number])
 
-    @stateful.rule(who=CONTROLS)
-    def crash(self, who):
-        self.world.crash(self.world.controls[who])
+    @stateful.rule(number=CONTROL_NUMBERS)
+    def crash(self, number):
+        self.world.crash(self.world.controls[number])
 
     @stateful.rule()
     def restart_engine(self):
--- a/tests/stateful/test_limits.py
+++ b/tests/stateful/test_limits.py
@@ -9,31 +9,31 @@
 from tests.stateful import limit_world
 
 
-def check(played):
-    for engine in played.engines:
+def check(result):
+    for engine in result.engines:
         for count, limit in engine.list_counts():
-            assert count <= 1.5 * limit_world.WINDOW * limit + 5
+            assert count <= 1.5 * limit_world.WINDOW_SECONDS * limit + 5
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_limit_holds_over_all_instances(seed):
-    check(limit_world.play(seed))
+    check(limit_world.simulate(seed))
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_limit_holds_beside_troubles(seed):
-    check(limit_world.play(seed, troubles=0.4))
+def test_limit_holds_under_faults(seed):
+    check(limit_world.simulate(seed, fault_rate=0.4))
 
 
 @pytest.mark.parametrize("seed", range(2))
 def test_limit_holds_in_a_large_fleet(seed):
-    check(limit_world.play(seed, troubles=0.3, instances=30))
+    check(limit_world.simulate(seed, fault_rate=0.3, instances=30))
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_what_engines_allow_is_used(seed):
-    played = limit_world.play(seed)
-    for engine in played.engines:
+    result = limit_world.simulate(seed)
+    for engine in result.engines:
         for before, span in zip(
             [None, *engine.spans], engine.spans, strict=False
         ):
@@ -41,27 +41,27 @@
             if before is not None and before.until == span.since:
                 # The next place under the limit before tells of the change.
                 seconds -= 2.0 / before.limit
-            came = [
+            arrived = [
                 at for at, _ in engine.arrivals if span.since <= at < span.until
             ]
-            assert len(came) >= 0.8 * span.limit * (seconds - 1.0) - 1
+            assert len(arrived) >= 0.8 * span.limit * (seconds - 1.0) - 1
 
 
 def test_limit_ends_with_the_answers_that_name_it():
-    played = limit_world.play(3)
-    assert played.denied
-    looked_at = 0
-    for engine in played.engines:
+    result = limit_world.simulate(3)
+    assert result.denied
+    checked = 0
+    for engine in result.engines:
         for before, after in zip(engine.spans, engine.spans[1:], strict=False):
             free = after.since - before.until
             if free < 4.0:
                 continue
-            came = [
+            arrived = [
                 at
                 for at, _ in engine.arrivals
                 if before.until + 3.0 <= at < after.since
             ]
-            looked_at += 1
+            checked += 1
             # Of all requests an engine gets a third.
-            assert len(came) >= 0.5 * 25.0 / 3 * (free - 3.0) - 3
-    assert looked_at
+            assert len(arrived) >= 0.5 * 25.0 / 3 * (free - 3.0) - 3
+    assert checked
--- a/tests/stateful/test_order_world.py
+++ b/tests/stateful/test_order_world.py
@@ -34,39 +34,41 @@
 from wayslip.gateway import facts
 
 
-async def _play_script():
+async def _simulate_full_engine():
     """Asks for an adapter while all places are taken by ones on their way."""
     world = order_world.World(1, engines=1, instances=1, rate=0.001)
-    world.faults.old_entry = 0.0
+    world.faults.stale_entry = 0.0
     world.adapter_seconds = 1.0
     engine = world.engines["e1"]
     instance = next(iter(world.instances.values()))
     planner = instance.gateway._planner
-    while len(engine.coming) < order_engine.PLACES:
+    while len(engine.pending_adapters) < order_engine.ADAPTER_SLOTS:
         await asyncio.sleep(0.005)
     old = engine.entries[0]
     model = min(engine.models)
     for wait in (1.0, 1.1, 0.3, 0.3, 1.0):
-        want = facts.ItemRequest("g9", "h", order_engine.SERVICE, model, "a8")
-        planner.process(want, ("10.0.1.9", 1))
+        request = facts.ItemRequest(
+            "g9", "h", order_engine.SERVICE, model, "a8"
+        )
+        planner.process(request, ("10.0.1.9", 1))
         await asyncio.sleep(wait)
-        engine.list(old)
+        engine.write_entry(old)
         await asyncio.sleep(0.1)
     world.stop()
     return world
 
 
-def test_unload_of_an_adapter_on_its_way_frees_no_place():
-    world = simulated_loop.run(_play_script())
-    assert not world.over
+def test_unload_of_a_loading_adapter_frees_no_slot():
+    world = simulated_loop.run(_simulate_full_engine())
+    assert not world.overcommits
 
 
-async def _play_succession():
+async def _simulate_succession():
     """Leaves a claim whose order was refused, and kills its holder."""
     world = order_world.World(1, engines=1, instances=2, rate=0.001)
-    world.faults.old_entry = 0.0
+    world.faults.stale_entry = 0.0
     engine = world.engines["e1"]
-    while sum(map(len, engine.models.values())) < order_engine.PLACES:
+    while sum(map(len, engine.models.values())) < order_engine.ADAPTER_SLOTS:
         await asyncio.sleep(0.05)
     order = lease.Pending(
         "e1", engine.orders, lease.Action.LOAD, min(engine.models), "a8"
@@ -93,27 +95,27 @@
 
     Successors sent both again without asking whether they fit.
     """
-    world = simulated_loop.run(_play_succession())
-    assert not world.over
+    world = simulated_loop.run(_simulate_succession())
+    assert not world.overcommits
 
 
-def test_worlds_of_troubles():
+def test_engines_are_not_overcommitted_under_faults():
     for seed in range(20):
-        world = order_troubles.play(seed, seconds=20.0)
-        assert not world.over, seed
-        assert world.taken
+        world = order_troubles.simulate(seed, seconds=20.0)
+        assert not world.overcommits, seed
+        assert world.orders_taken
 
 
-def test_the_oracle_sees_an_order_over_its_places():
+def test_the_oracle_detects_an_order_beyond_its_slots():
     async def order_too_many():
         world = order_world.World(1, engines=1, instances=0)
         engine = world.engines["e1"]
         model = min(engine.models)
-        for number in range(order_engine.PLACES + 1):
+        for number in range(order_engine.ADAPTER_SLOTS + 1):
             load = lease.Action.LOAD
             order = lease.Pending("e1", number, load, model, f"a{number}")
-            world.arrive(engine, order)
+            world.deliver_order(engine, order)
         world.stop()
         return world
 
-    assert len(simulated_loop.run(order_too_many()).over) == 1
+    assert len(simulated_loop.run(order_too_many()).overcommits) == 1
--- a/tests/stateful/test_outage_at_size.py
+++ b/tests/stateful/test_outage_at_size.py
@@ -27,18 +27,18 @@
 from tests.stateful import simulated_loop
 
 INSTANCES = 195
-OUTAGE = 8.0
-STEP = 0.05
+OUTAGE_SECONDS = 8.0
+STEP_SECONDS = 0.05
 # Seconds: 0.9 until the holder doubts, 0.45 in which all look one after the
 # other, 0.5 that a silent store is waited for, 0.2 for answers, and two reports
 # of 0.5, since of 195 answers one or two are lost each time.
-FIRST_GRANT = 3.1
+FIRST_GRANT_SECONDS = 3.1
 # Between two stops, and how long a stopped instance is away, seconds.
-STOP_GAP = 1.1
-AWAY = 4.0
+STOP_GAP_SECONDS = 1.1
+AWAY_SECONDS = 4.0
 
 
-def _find_detaching(world):
+def _find_detached_operation(world):
     number = world.find_holder()
     if number is None:
         return None
@@ -50,15 +50,15 @@
     """Stops an instance as planned; another process follows it."""
     instance = world.instances[(f"10.0.1.{number}", 1)]
     instance.gateway._placement.announce_leaving()
-    world.later(AWAY - 1.1, _end, world, number)
-    world.later(AWAY, world.start, number)
+    world.call_later(AWAY_SECONDS - 1.1, _end, world, number)
+    world.call_later(AWAY_SECONDS, world.start, number)
 
 
 def _end(world, number):
     world.instances.pop((f"10.0.1.{number}", 1)).kill()
 
 
-async def _play_outage(seed, is_rolling):
+async def _simulate_outage(seed, is_rolling):
     """Returns seconds with a grant, and when the first one came."""
     world = order_world.World(seed, engines=6, instances=INSTANCES, rate=0.05)
     await asyncio.sleep(8.0)
@@ -66,32 +66,32 @@
     world.faults.is_store_down = True
     began = world.now
     granted, first, stops = 0.0, None, 0
-    while world.now < began + OUTAGE:
-        if is_rolling and world.now - began > stops * STOP_GAP:
+    while world.now < began + OUTAGE_SECONDS:
+        if is_rolling and world.now - began > stops * STOP_GAP_SECONDS:
             stops += 1
             _stop_and_start(world, (holder + stops) % INSTANCES)
-        detached_operation = _find_detaching(world)
+        detached_operation = _find_detached_operation(world)
         if detached_operation is not None and detached_operation.is_granted:
-            granted += STEP
+            granted += STEP_SECONDS
             first = world.now - began if first is None else first
-        await asyncio.sleep(STEP)
+        await asyncio.sleep(STEP_SECONDS)
     world.stop()
     return granted, first
 
 
-def test_holder_goes_on_without_the_store_in_a_large_fleet():
-    granted, first = simulated_loop.run(_play_outage(1, False))
-    assert first is not None and first < FIRST_GRANT
-    assert granted > 0.6 * OUTAGE
+def test_holder_orders_engines_without_the_store_in_a_large_fleet():
+    granted, first = simulated_loop.run(_simulate_outage(1, False))
+    assert first is not None and first < FIRST_GRANT_SECONDS
+    assert granted > 0.6 * OUTAGE_SECONDS
 
 
-def test_instances_that_stop_and_start_do_not_keep_it_from_that():
-    granted, first = simulated_loop.run(_play_outage(2, True))
-    assert first is not None and first < FIRST_GRANT
-    assert granted > 0.6 * OUTAGE
+def test_restarting_instances_do_not_end_detached_operation():
+    granted, first = simulated_loop.run(_simulate_outage(2, True))
+    assert first is not None and first < FIRST_GRANT_SECONDS
+    assert granted > 0.6 * OUTAGE_SECONDS
 
 
-async def _play_quiet_outage():
+async def _simulate_quiet_outage():
     """Returns the bytes a second that the holder sends without the store."""
     world = order_world.World(3, engines=40, instances=40, rate=0.05)
     await asyncio.sleep(8.0)
@@ -117,4 +117,4 @@
     # Cause: whoever can not read the list was taken to lack it. Nobody lacks
     # anything of it while nobody can read it.
     # States, news and handovers of 40 instances are 12 KB a second.
-    assert simulated_loop.run(_play_quiet_outage()) < 50_000
+    assert simulated_loop.run(_simulate_quiet_outage()) < 50_000
--- a/tests/stateful/test_quotas.py
+++ b/tests/stateful/test_quotas.py
@@ -5,14 +5,14 @@
 from tests.stateful import quota_world
 
 RATES = {"large": 72_000.0, "other": 30_000.0, "small": 4_200.0}
-USUAL = {name: rate / 1.8 for name, rate in RATES.items()}
+USUAL_RATES = {name: rate / 1.8 for name, rate in RATES.items()}
 
 
-def play_hot(world, name="large", factor=7.5):
-    hot = {**USUAL, name: USUAL[name] * factor}
-    world.run(4.0, USUAL)
-    world.run(11.0, hot)
-    world.run(4.0, USUAL)
+def run_overload(world, name="large", factor=7.5):
+    overload = {**USUAL_RATES, name: USUAL_RATES[name] * factor}
+    world.run(4.0, USUAL_RATES)
+    world.run(11.0, overload)
+    world.run(4.0, USUAL_RATES)
 
 
 def check(world):
@@ -24,7 +24,7 @@
 @pytest.mark.parametrize("count", [6, 90, 300])
 def test_organisation_far_beyond_its_quota_is_held_to_it(seed, count):
     world = quota_world.QuotaWorld(seed, count, RATES)
-    play_hot(world)
+    run_overload(world)
     check(world)
     # The others lose nothing by it.
     assert world.find_wrongly_refused("other") < 0.01
@@ -34,20 +34,20 @@
 @pytest.mark.parametrize("seed", range(3))
 def test_usual_demand_is_never_refused(seed):
     world = quota_world.QuotaWorld(seed, 90, RATES)
-    world.run(20.0, USUAL)
+    world.run(20.0, USUAL_RATES)
     for name in RATES:
         assert world.find_wrongly_refused(name) < 0.005, name
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_quota_holds_while_a_third_hears_nobody(seed):
+def test_quota_holds_while_a_third_is_isolated(seed):
     world = quota_world.QuotaWorld(seed, 90, RATES)
-    hot = {**USUAL, "large": USUAL["large"] * 6}
-    world.run(4.0, USUAL)
-    world.run(2.0, hot)
+    overload = {**USUAL_RATES, "large": USUAL_RATES["large"] * 6}
+    world.run(4.0, USUAL_RATES)
+    world.run(2.0, overload)
     # Keys lapse after this time at an instance that hears nobody.
-    world.run(3.9, hot, cuts=range(30, 60))
-    world.run(6.0, hot)
+    world.run(3.9, overload, isolated=range(30, 60))
+    world.run(6.0, overload)
     check(world)
 
 
@@ -60,25 +60,25 @@
     # burst and of the rate, and an organisation's clients come to more than
     # eight instances.
     world = quota_world.QuotaWorld(seed, 90, RATES)
-    hot = {**USUAL, "large": USUAL["large"] * 4.8}
-    world.run(4.0, USUAL)
-    world.run(4.0, hot)
+    overload = {**USUAL_RATES, "large": USUAL_RATES["large"] * 4.8}
+    world.run(4.0, USUAL_RATES)
+    world.run(4.0, overload)
     world.kill_all()
     world.run(1.0, {})
-    world.run(1.5, hot)
-    world.hand_over(1)
-    world.run(6.0, hot)
+    world.run(1.5, overload)
+    world.transfer_lease(1)
+    world.run(6.0, overload)
     check(world)
 
 
 @pytest.mark.parametrize("seed", range(3))
 def test_quota_holds_while_holders_change_and_instances_start_again(seed):
     world = quota_world.QuotaWorld(seed, 90, RATES)
-    hot = {**USUAL, "large": USUAL["large"] * 6}
-    world.run(4.0, USUAL)
+    overload = {**USUAL_RATES, "large": USUAL_RATES["large"] * 6}
+    world.run(4.0, USUAL_RATES)
     for number in range(1, 5):
-        world.run(2.0, hot)
-        world.hand_over(number)
-        world.restart(world.homes["large"][number])
-        world.run(0.5, hot)
+        world.run(2.0, overload)
+        world.transfer_lease(number)
+        world.restart(world.assigned_instances["large"][number])
+        world.run(0.5, overload)
     check(world)
--- a/tests/stateful/test_restarts.py
+++ b/tests/stateful/test_restarts.py
@@ -28,7 +28,7 @@
 _LOAD = lease.Pending("e1", 4, lease.Action.LOAD, "m2", "")
 
 
-def test_new_start_ends_what_was_known_of_the_one_before():
+def test_new_incarnation_discards_what_was_known_of_the_former_one():
     endpoints = view.EndpointView("h")
     endpoints.apply_entry(_OLD)
     endpoints.note_item("e1", "m3", "", True)
@@ -43,7 +43,7 @@
     assert endpoints.tracked["e1"].endpoint is _NEW
 
 
-def test_report_of_another_start_is_not_taken_in():
+def test_report_of_another_incarnation_is_not_applied():
     tracked_engine = tracked_engines.TrackedEngine(_NEW)
     old = fleet.EngineState(3, False, {"m1": frozenset()}, born=5)
     assert not tracked_engine.apply_report(old, 1.0)
@@ -56,7 +56,7 @@
     assert tracked_engine.is_certain
 
 
-def test_late_order_is_charged_to_the_next_start():
+def test_late_order_is_charged_to_the_next_incarnation():
     tracked_engine = tracked_engines.TrackedEngine(_OLD)
     tracked_engine.note_unanswered(_LOAD, 100.0)
     after = tracked_engine.begin_incarnation(_NEW, 101.0)
@@ -67,7 +67,7 @@
     assert ("m2", "") not in after.charged()
 
 
-def test_late_order_is_charged_for_as_long_as_it_may_come():
+def test_late_order_is_charged_for_as_long_as_it_may_arrive():
     tracked_engine = tracked_engines.TrackedEngine(_OLD)
     tracked_engine.inventory = inventory.Inventory(4, frozenset())
     tracked_engine.note_unanswered(_LOAD, 100.0)
@@ -78,36 +78,36 @@
     assert ("m2", "") not in after.charged()
 
 
-def test_worlds_of_restarts():
+def test_engines_are_not_overcommitted_across_restarts():
     restarts = 0
     for seed in range(3000, 3020):
-        world = order_troubles.play(seed, seconds=25.0, restarts=0.4)
-        assert not world.over, seed
-        assert world.taken
+        world = order_troubles.simulate(seed, seconds=25.0, restarts=0.4)
+        assert not world.overcommits, seed
+        assert world.orders_taken
         restarts += world.restarts
     assert restarts > 100
 
 
-async def _play_one_restart(seed):
+async def _simulate_one_restart(seed):
     """Returns seconds until nobody believes the old start, and until a load."""
     world = order_world.World(seed, engines=5, instances=6)
     await asyncio.sleep(12.0)
     engine = world.engines["e2"]
     engine.restart()
     began = world.now
-    heard = loaded = None
-    while heard is None or loaded is None:
+    detected = loaded = None
+    while detected is None or loaded is None:
         await asyncio.sleep(0.02)
         assert world.now - began < 10.0
         if loaded is None and engine.orders:
             loaded = world.now - began
-        if heard is None and not _believe_too_much(world, engine):
-            heard = world.now - began
+        if detected is None and not _has_stale_items(world, engine):
+            detected = world.now - began
     world.stop()
-    return heard, loaded
+    return detected, loaded
 
 
-def _believe_too_much(world, engine):
+def _has_stale_items(world, engine):
     return any(
         instance.gateway.view.holds(tracked.endpoint, f"m{n}", "")
         for instance in world.instances.values()
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_engine_that_started_again_is_known_as_empty_and_loaded(seed):
-    heard, loaded = simulated_loop.run(_play_one_restart(seed))
+    detected, loaded = simulated_loop.run(_simulate_one_restart(seed))
     # It is listed 0.8 s later at most; what is heard late is told again.
-    assert heard < 1.6
+    assert detected < 1.6
     assert loaded < 2.0
--- a/tests/stateful/test_store_calls.py
+++ b/tests/stateful/test_store_calls.py
@@ -26,7 +26,7 @@
 from tests.stateful import simulated_loop
 
 
-async def _play_outage(instances):
+async def _simulate_outage(instances):
     """Returns the calls a second in the last 8 of 10 s without the store."""
     world = order_world.World(1, engines=2, instances=instances, rate=0.01)
     await asyncio.sleep(10.0)
@@ -51,8 +51,8 @@
 
 
 def test_attempts_in_an_outage_do_not_grow_with_the_fleet():
-    some, _ = simulated_loop.run(_play_outage(40))
-    more, seconds = simulated_loop.run(_play_outage(80))
+    some, _ = simulated_loop.run(_simulate_outage(40))
+    more, seconds = simulated_loop.run(_simulate_outage(80))
     # Two followed kinds and the lease at 10 attempts a second each, and the
     # holder's own.
     assert more < 1.25 * some
@@ -61,7 +61,7 @@
     assert seconds < 2.0
 
 
-async def _play_restart():
+async def _simulate_restart():
     """Returns when a killed fleet has a holder, after the store is back."""
     world = order_world.World(5, engines=6, instances=10, rate=0.2)
     await asyncio.sleep(10.0)
@@ -89,20 +89,20 @@
     # the fleet's attempts, as if another one could tell it; the process that
     # may take its own old lease at once is one of them.
     # Cause: attempts were shared out though nobody was there to tell.
-    assert simulated_loop.run(_play_restart()) < 1.2
+    assert simulated_loop.run(_simulate_restart()) < 1.2
 
 
-async def _play_lack():
+async def _simulate_missing_configuration():
     """Returns when the last instance has a change, after it can read again."""
     world = order_world.World(4, engines=2, instances=60, rate=0.01)
     await asyncio.sleep(10.0)
     holder = f"g{world.find_holder()}"
     others = {i.options.name for i in world.instances.values()} - {holder}
-    world.faults.cut_off = set(sorted(others)[:20])
+    world.faults.disconnected = set(sorted(others)[:20])
     manifest = order_engine.make_manifest(version=2)
     world.store.put("config", "main", manifest)
     await asyncio.sleep(2.0)
-    world.faults.cut_off = set()
+    world.faults.disconnected = set()
     began = world.now
     while not all(
         i.gateway.holder.version == 2 for i in world.instances.values()
@@ -122,10 +122,10 @@
     # before the next attempt, shared out over the fleet, until 24.29 s, and
     # goes by version 3: configuration_in_force version=15 before=3.
     # Cause: the pause ended only with word that lacks nothing.
-    assert simulated_loop.run(_play_lack()) < 1.5
+    assert simulated_loop.run(_simulate_missing_configuration()) < 1.5
 
 
-async def _play_change():
+async def _simulate_change():
     """Returns calls for the configuration after a change, by staleness."""
     count = 30
     world = order_world.World(2, engines=2, instances=count, rate=0.01)
@@ -153,14 +153,14 @@
     return seconds, *calls
 
 
-def test_change_that_the_holder_vouches_for_is_read_at_a_lower_price():
-    seconds, current, stale = simulated_loop.run(_play_change())
+def test_change_confirmed_by_the_holder_needs_few_current_reads():
+    seconds, current, stale = simulated_loop.run(_simulate_change())
     assert seconds < 1.5
     assert current <= 2
     assert stale <= 30
 
 
-async def _play_start():
+async def _simulate_start():
     """Returns reads of the first seconds that ask for the newest answer."""
     world = order_world.World(3, engines=2, instances=30, rate=0.01)
     began = world.now
@@ -176,8 +176,8 @@
     return found
 
 
-def test_start_of_a_fleet_reads_at_a_lower_price():
-    found = simulated_loop.run(_play_start())
+def test_start_of_a_fleet_needs_few_current_reads():
+    found = simulated_loop.run(_simulate_start())
     # The holder's own, and those of instances whose first word from it came
     # too late.
     assert found["list"] <= 10
--- a/tests/stateful/test_store_returns.py
+++ b/tests/stateful/test_store_returns.py
@@ -13,15 +13,15 @@
 from tests.stateful import order_world
 from tests.stateful import simulated_loop
 
-DISTANCE = 3.0
+DISTANCE_SECONDS = 3.0
 # In touch is who nothing has troubled for so long, seconds.
-CONTACT = 3.0
+CONTACT_SECONDS = 3.0
 # Until all instances heed what the store has acknowledged, seconds.
-HEEDED = 2.0
-TROUBLES = (
+APPLIED_SECONDS = 2.0
+FAULTS = (
     order_troubles.kill_holder,
     order_troubles.kill_many,
-    order_troubles.cut_holder_off,
+    order_troubles.disconnect_holder,
     order_troubles.stop_store,
     order_troubles.lose_writes,
     order_troubles.delay_writes,
@@ -33,40 +33,40 @@
 
 
 @dataclasses.dataclass
-class Played:
+class Result:
     world: order_world.World
     # Instances that still knew an engine so long after its entry had gone.
     late: list = dataclasses.field(default_factory=list)
     gone: int = 0
-    returns: int = 0
+    restores: int = 0
 
 
-async def _return(world, played):
+async def _restore_repeatedly(world, result):
     """Has the store come back, once more a moment later now and then."""
     rng = world.rng
     while True:
-        world.store.keep_backup()
+        world.store.save_backup()
         await asyncio.sleep(rng.uniform(0.5, 5.0))
         world.faults.is_store_down = True
         await asyncio.sleep(rng.choice((0.0, 0.3, 1.5)))
-        world.store.return_to_backup()
+        world.store.restore_backup()
         world.faults.is_store_down = False
-        played.returns += 1
+        result.restores += 1
         if rng.random() < 0.2:
             await asyncio.sleep(rng.uniform(0.2, 1.5))
-            world.store.return_to_backup()
+            world.store.restore_backup()
         await asyncio.sleep(rng.uniform(1.0, 12.0))
 
 
-async def _strike(world, rate):
+async def _inject_faults(world, rate):
     while True:
         await asyncio.sleep(world.rng.expovariate(rate))
-        world.rng.choice(TROUBLES)(world)
+        world.rng.choice(FAULTS)(world)
 
 
-async def _watch_engines(world, played):
+async def _watch_engines(world, result):
     """Notes who goes on with an engine once its entry has gone."""
-    troubled, listed, away, known = world.now, set(), {}, {}
+    disturbed_at, listed, removed, known = world.now, set(), {}, {}
     era = world.store.era
     while True:
         await asyncio.sleep(0.05)
@@ -81,51 +81,53 @@
             started
             or world.store.era != era
             or faults.is_store_down
-            or faults.cut_off
+            or faults.disconnected
             or faults.datagram_slow
             or faults.write_late
         ):
-            troubled = world.now
+            disturbed_at = world.now
         era = world.store.era
         now_listed = set(world.store.objects.get("servers", {}))
-        if world.now - troubled < CONTACT:
-            away.clear()
+        if world.now - disturbed_at < CONTACT_SECONDS:
+            removed.clear()
         else:
-            away.update(dict.fromkeys(listed - now_listed, world.now))
+            removed.update(dict.fromkeys(listed - now_listed, world.now))
         listed = now_listed
-        for name, since in list(away.items()):
-            if world.now - since < HEEDED or name in listed:
+        for name, since in list(removed.items()):
+            if world.now - since < APPLIED_SECONDS or name in listed:
                 continue
-            del away[name]
-            played.gone += 1
-            played.late += [
+            del removed[name]
+            result.gone += 1
+            result.late += [
                 (world.now, name, instance.options.name)
                 for instance in world.instances.values()
                 if name in instance.gateway.view.tracked
             ]
 
 
-async def _play(seed, seconds, returns, troubles):
+async def _simulate(seed, seconds, restores, fault_rate):
     world = order_world.World(seed)
-    played = Played(world)
+    result = Result(world)
     await asyncio.sleep(3.0)
-    world.keep(asyncio.create_task(_watch_engines(world, played)))
-    if returns:
-        world.keep(asyncio.create_task(_return(world, played)))
-    if troubles:
-        world.keep(asyncio.create_task(_strike(world, troubles)))
+    world.track_task(asyncio.create_task(_watch_engines(world, result)))
+    if restores:
+        world.track_task(
+            asyncio.create_task(_restore_repeatedly(world, result))
+        )
+    if fault_rate:
+        world.track_task(asyncio.create_task(_inject_faults(world, fault_rate)))
     end = world.now + seconds
     while world.now < end:
         await asyncio.sleep(world.rng.uniform(3.0, 7.0))
         order_troubles.replace_engine(world)
     world.stop()
     await asyncio.sleep(0)
-    return played
+    return result
 
 
-def play(seed, seconds=50.0, returns=True, troubles=0.0):
+def simulate(seed, seconds=50.0, restores=True, fault_rate=0.0):
     """Plays one world; returns what was played."""
-    return simulated_loop.run(_play(seed, seconds, returns, troubles))
+    return simulated_loop.run(_simulate(seed, seconds, restores, fault_rate))
 
 
 def list_violations(world):
@@ -137,7 +139,9 @@
         last[engine] = order
         is_alone = owners.setdefault((engine, token), owner) == owner
         is_apart = (
-            before is None or before[2] == owner or at - before[0] >= DISTANCE
+            before is None
+            or before[2] == owner
+            or at - before[0] >= DISTANCE_SECONDS
         )
         has_risen = before is None or token >= before[3]
         if not (is_alone and is_apart and has_risen):
@@ -145,28 +149,28 @@
     return broken
 
 
-def check(played):
-    assert not list_violations(played.world)
-    assert not played.world.over
-    assert not played.late
+def check(result):
+    assert not list_violations(result.world)
+    assert not result.world.overcommits
+    assert not result.late
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_rules_hold_while_the_store_comes_back_from_copies(seed):
-    played = play(seed)
-    assert played.returns
-    assert played.world.orders
-    check(played)
+def test_rules_hold_while_the_store_is_restored_from_copies(seed):
+    result = simulate(seed)
+    assert result.restores
+    assert result.world.orders
+    check(result)
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_rules_hold_while_it_does_beside_other_troubles(seed):
-    check(play(seed, troubles=0.4))
+def test_rules_hold_while_it_does_under_other_faults(seed):
+    check(simulate(seed, fault_rate=0.4))
 
 
-def test_orders_go_on_after_each_return():
-    played = play(1, seconds=80.0)
-    times = [order[0] for order in played.world.orders]
+def test_orders_continue_after_each_restore():
+    result = simulate(1, seconds=80.0)
+    times = [order[0] for order in result.world.orders]
     gaps = [b - a for a, b in zip(times, times[1:], strict=False)]
     # A next holder waits for the distance and what its order may take.
     assert max(gaps) < 8.0
--- a/tests/stateful/test_successors.py
+++ b/tests/stateful/test_successors.py
@@ -21,10 +21,10 @@
 STRONG = range(0, 120, 13)
 WEAK_CORES = 0.5
 STRONG_CORES = 2.15
-DEATHS = 6
+CRASHES = 6
 
 
-async def _play_deaths():
+async def _simulate_crashes():
     """Returns the numbers of the holders that followed on dead ones."""
     cores = dict.fromkeys(range(INSTANCES), WEAK_CORES)
     cores |= dict.fromkeys(STRONG, STRONG_CORES)
@@ -32,18 +32,20 @@
         6, engines=2, instances=INSTANCES, rate=0.01, cores=cores
     )
     await asyncio.sleep(6.0)
-    followed = []
-    for _ in range(DEATHS):
+    successors = []
+    for _ in range(CRASHES):
         number = world.find_holder()
         world.instances.pop((f"10.0.1.{number}", 1)).kill()
         while world.find_holder() is None:
             await asyncio.sleep(0.01)
-        followed.append(world.find_holder())
+        successors.append(world.find_holder())
         await asyncio.sleep(4.0)
     world.stop()
-    return followed
+    return successors
 
 
 def test_lease_goes_to_one_of_the_instances_with_more_processor():
-    followed = simulated_loop.run(_play_deaths())
-    assert len([n for n in followed if n in STRONG]) >= DEATHS - 1, followed
+    successors = simulated_loop.run(_simulate_crashes())
+    assert len([n for n in successors if n in STRONG]) >= CRASHES - 1, (
+        successors
+    )
--- a/tests/stateful/test_tracked_engine_machine.py
+++ b/tests/stateful/test_tracked_engine_machine.py
@@ -15,10 +15,10 @@
 
 MODELS = ("m1", "m2", "m3", "m4")
 ADAPTERS = ("a1", "a2", "a3")
-ROOM = 2
-PLACES = 2
+MAX_MODELS = 2
+ADAPTER_SLOTS = 2
 # How old an engine's reports may be, seconds: some hundred milliseconds.
-REPORT_LAG = 1.0
+REPORT_LAG_SECONDS = 1.0
 
 
 class Engine:
@@ -60,9 +60,9 @@
 
     def check(self):
         count = len(self.models) + (self.loading is not None)
-        assert count <= ROOM, "ordered over its memory"
-        places = sum(len(a) for a in self.models.values())
-        assert places <= PLACES, "ordered over its places"
+        assert count <= MAX_MODELS, "ordered over its memory"
+        slots = sum(len(a) for a in self.models.values())
+        assert slots <= ADAPTER_SLOTS, "ordered over its places"
 
     def state(self):
         return fleet.EngineState(
@@ -70,7 +70,7 @@
         )
 
 
-class BookMachine(stateful.RuleBasedStateMachine):
+class TrackedEngineMachine(stateful.RuleBasedStateMachine):
     """A holder with its book, replaced now and then by another."""
 
     def __init__(self):
@@ -91,7 +91,7 @@
             "e", "s", "a", "h", models=self.states[self.entry_at].models
         )
 
-    def note_truth(self):
+    def record_state(self):
         self.replaced_at.append(self.now)
         self.states.append(self.engine.state())
 
@@ -104,13 +104,13 @@
     @stateful.rule()
     def engine_finishes(self):
         self.engine.finish()
-        self.note_truth()
+        self.record_state()
 
     @stateful.precondition(lambda self: self.late)
     @stateful.rule()
     def late_order_arrives(self):
         self.engine.take(self.late.pop(0))
-        self.note_truth()
+        self.record_state()
 
     @stateful.rule(skip=st.integers(0, 3))
     def list_follows(self, skip):
@@ -141,7 +141,7 @@
             self.settle(pending)
 
     def is_recent(self, index):
-        return self.now - self.replaced_at[index] < REPORT_LAG
+        return self.now - self.replaced_at[index] < REPORT_LAG_SECONDS
 
     def settle(self, pending):
         self.tracked_engine.pending = None
@@ -172,7 +172,7 @@
             self.late.append(pending)
             return
         is_taken = self.engine.take(pending)
-        self.note_truth()
+        self.record_state()
         if way == "lost_answer":
             return
         self.tracked_engine.pending = None
@@ -185,24 +185,24 @@
         if (model, adapter) in charged:
             return False
         if adapter:
-            places = sum(1 for _, a in charged if a)
-            return (model, "") in charged and places < PLACES
-        return sum(1 for _, a in charged if not a) < ROOM
+            slots = sum(1 for _, a in charged if a)
+            return (model, "") in charged and slots < ADAPTER_SLOTS
+        return sum(1 for _, a in charged if not a) < MAX_MODELS
 
     @stateful.precondition(lambda self: self.tracked_engine.pending is not None)
     @stateful.rule(is_lost=st.booleans())
     def repeat(self, is_lost):
         if not is_lost:
             self.engine.take(self.tracked_engine.pending)
-            self.note_truth()
+            self.record_state()
 
     @stateful.invariant()
     def memory_holds(self):
         self.engine.check()
 
 
-TestBook = BookMachine.TestCase
-TestBook.settings = hypothesis.settings(
+TestTrackedEngineMachine = TrackedEngineMachine.TestCase
+TestTrackedEngineMachine.settings = hypothesis.settings(
     max_examples=300, stateful_step_count=60
 )
 
