--- a/tests/stateful/ledger_world.py
+++ b/tests/stateful/ledger_world.py
@@ -1,8 +1,8 @@
-"""One engine, its ledger in a store, controls that fail, and the truth.
+"""Simulates an engine, its ledger in a store, and control processes that fail.
 
-The oracle is the engine's own memory: nothing here looks at charges to know
-what is loaded. Orders wait in a bag and arrive at any time, in any order, or
-never; a control may stop at any point between two of its steps.
+The oracle is the memory of the simulated engine; it does not depend on the
+charges. Orders in transit arrive at any time, in any order, or never. A control
+process may crash between any two of its steps.
 """
 
 import dataclasses
@@ -14,8 +14,8 @@
 CAPACITY_UNITS = 100
 SIZES = {"a": 30, "b": 40, "c": 50, "d": 25, "e": 60}
 QUARANTINE_SECONDS = 10.0
-# Without fences the quarantine covers how long an order may be under way and
-# how old a report may be; each gets half of it.
+# Without fences the quarantine covers the longest transit time of an order and
+# the greatest age of a report; each gets half of it.
 ORDER_SECONDS = 5.0
 REPORT_SECONDS = 5.0
 _MAX_SNAPSHOTS = 40
@@ -23,13 +23,13 @@
 
 @dataclasses.dataclass
 class Control:
-    """A control's soft state; a crash makes a new incarnation."""
+    """Soft state of a control process; a crash starts a new incarnation."""
 
     name: str
     incarnation: int = 0
-    # Attempts that were written and not sent yet.
+    # Attempts that are written but not sent yet.
     unsent: list = dataclasses.field(default_factory=list)
-    # Attempts whose write had no answer.
+    # Attempts whose write was not answered.
     unconfirmed: list = dataclasses.field(default_factory=list)
     waiting: list = dataclasses.field(default_factory=list)
 
@@ -39,7 +39,7 @@
 
 
 class LedgerWorld:
-    """The world; every method is one step that may happen at any time."""
+    """Simulated state; every method is a step that may happen at any time."""
 
     def __init__(self, checks_fence, controls=3):
         self.checks_fence = checks_fence
@@ -62,7 +62,11 @@
     # The store
 
     def _write(self, version, value, is_lost=False):
-        """Makes a conditional update; returns True, False or None (lost)."""
+        """Makes a conditional update.
+
+        Returns:
+            True if written, False on a conflict, None if the answer is lost.
+        """
         if version != self.version:
             return False
         if value != self.stored:
@@ -108,7 +112,7 @@
     # Controls
 
     def begin(self, control, action, item, staleness, is_lost):
-        """Writes an attempt, perhaps on an old read or without an answer."""
+        """Writes an attempt, based on a stale read or without answer if asked."""
         version, known = self.versions[-1 - staleness % len(self.versions)]
         self.serial += 1
         attempt_id = f"x{self.serial}"
@@ -131,14 +135,14 @@
             control.unsent.append(self.stored.find_attempt(attempt_id))
 
     def confirm_writes(self, control):
-        """Finds out whether a write without an answer took effect."""
+        """Checks whether writes that were not answered took effect."""
         for attempt_id in control.unconfirmed:
             if self.stored.find_attempt(attempt_id) is not None:
                 control.unsent.append(self.stored.find_attempt(attempt_id))
         control.unconfirmed.clear()
 
     def send(self, control):
-        """Sends an attempt, however long after it was written."""
+        """Sends the oldest unsent attempt, any time after it was written."""
         if not control.unsent:
             return
         attempt = control.unsent.pop(0)
@@ -164,7 +168,7 @@
             self.in_transit.pop(index % len(self.in_transit))
 
     def receive(self, index):
-        """Has an answer reach its sender, if that still waits."""
+        """Delivers an answer if its sender still waits for it."""
         if not self.answers:
             return
         attempt, outcome, residency = self.answers.pop(
@@ -178,14 +182,14 @@
                     control.waiting.remove(attempt.id)
 
     def time_out(self, control):
-        """Has a control stop waiting for its oldest answer."""
+        """Makes a control process stop waiting for its oldest answer."""
         if control.waiting:
             attempt_id = control.waiting.pop(0)
             now = self.now
             self._change(lambda old: old.give_up(attempt_id, now))
 
     def crash(self, control):
-        """Ends a control; another one notices and gives up its attempts."""
+        """Crashes a control process; another one gives up its attempts."""
         sender, now = control.sender, self.now
         control.incarnation += 1
         control.unsent.clear()
@@ -194,7 +198,7 @@
         self._change(lambda old: old.give_up_sender(sender, now))
 
     def observe(self, index):
-        """Takes in a report, perhaps an old one."""
+        """Applies a report; a higher index gives an older one."""
         taken, residency = self.snapshots[-1 - index % len(self.snapshots)]
         if not self.checks_fence and self.now - taken > REPORT_SECONDS:
             residency = self._take_snapshot()
@@ -204,8 +208,11 @@
         )
 
     def advance(self, seconds):
-        """Lets time pass. Orders are not under way for ever: those whose
-        sender gave up longer ago than the quarantine are gone."""
+        """Advances the clock.
+
+        Without fences, drops orders that the sender gave up more than
+        `ORDER_SECONDS` ago: transit time is limited.
+        """
         self.now += seconds
         given_up = {
             a.id
@@ -217,22 +224,23 @@
                 a for a in self.in_transit if a.id not in given_up
             ]
 
-    # The truth
+    # Invariants
 
     def check(self):
-        """Fails if memory is overcommitted or something is not charged."""
+        """Fails if memory is overcommitted or a loaded item is not charged."""
         used = sum(self.memory.values())
         assert used <= CAPACITY_UNITS, f"overcommitted: {self.memory}"
         charged = {c.item for c in self.stored.charges}
         assert self.memory.keys() <= charged, "memory is not charged"
 
     def step(self, rng: random.Random):
-        """Makes one random step and checks."""
+        """Makes one random step and checks the invariants."""
         control = rng.choice(self.controls)
         item = rng.choice(list(SIZES))
         match rng.randrange(16):
             case 0 | 1:
-                # Mostly what makes sense, so that memory is in use.
+                # Mostly loads of absent items and unloads of loaded
+                # ones, so that memory is in use.
                 likely = ledger.Action.LOAD
                 if item in self.memory:
                     likely = ledger.Action.UNLOAD
--- a/tests/stateful/limit_world.py
+++ b/tests/stateful/limit_world.py
@@ -1,7 +1,7 @@
-"""Engines that name limits, at real gateways over a fake network.
+"""Simulates engines that report rate limits, with real gateways.
 
-What gateways know of limits, and the places that they give one another, is
-their own; the engines are played here, and the requests that come for them.
+The gateways track limits and exchange permits with their own code. The network,
+the engines and the requests are simulated.
 """
 
 import asyncio
@@ -12,7 +12,8 @@
 from tests.stateful import simulated_loop
 from wayslip.decisions import fleet
 
-# Of the platform's rule: when it holds, and over what time.
+# From the platform's rule on limits: seconds of contact until an instance must
+# comply, seconds after its first notice of a limit, and the window.
 CONTACT_SECONDS = 3.0
 NOTICE_SECONDS = 0.5
 WINDOW_SECONDS = 4.0
@@ -27,13 +28,13 @@
 )
 _LIMITS = (0.3, 1.0, 1.1, 2.0, 5.0)
 _TICK_SECONDS = 0.05
-# Requests that come in one moment now and then.
+# Requests that arrive at once, in one of 50 arrivals.
 _BURST = 12
 
 
 @dataclasses.dataclass
 class Span:
-    """A time for which an engine names a limit."""
+    """A period for which an engine reports a limit."""
 
     limit: float
     since: float
@@ -41,16 +42,16 @@
 
 
 class Engine:
-    """One engine, what it names and what reached it."""
+    """One engine, the limits that it reports and its arrivals."""
 
     def __init__(self, number):
         self.endpoint = fleet.Endpoint(
             f"x{number}", "models", "10.0.9.9:1", "h"
         )
         self.spans = []
-        # When a request came, and whether its sender had to heed the limit.
+        # Arrival times, and whether the sender had to comply with the limit.
         self.arrivals = []
-        # When each process passed on an answer that names a limit, first.
+        # When each process first received an answer that names a limit.
         self.first_notices = {}
 
     def find_limit(self, at):
@@ -59,9 +60,10 @@
         )
 
     def list_counts(self):
-        """Returns what came in each window that the rule looks at.
+        """Returns the arrivals in each window that the rule covers.
 
-        Each with the largest limit that was named meanwhile.
+        A window begins at each arrival that must comply; each count comes with
+        the limit of its span.
         """
         counts = []
         for span in self.spans:
@@ -82,7 +84,7 @@
 
 
 class Simulation:
-    """One seed's limits, requests and troubles."""
+    """The limits, requests and faults drawn from one seed."""
 
     def __init__(self, seed, instances, rate):
         self.world = order_world.World(
@@ -116,7 +118,7 @@
         return self
 
     async def _vary_limit(self, engine):
-        """Names a limit, changes it, ends it, for ever."""
+        """Reports a limit, changes it and withdraws it, until cancelled."""
         while True:
             await asyncio.sleep(self.rng.uniform(0.0, 6.0))
             for _ in range(self.rng.randint(1, 2)):
@@ -131,7 +133,7 @@
             self.rng.choice(FAULTS)(self.world)
 
     async def _watch(self):
-        """Notes who is troubled: the rule excuses these."""
+        """Records disturbed instances, which the rule exempts."""
         known = {}
         while True:
             faults = self.world.faults
@@ -167,7 +169,7 @@
         await asyncio.sleep(self.rng.uniform(0.001, 0.004))
         self._record_arrival(engine, instance)
         await asyncio.sleep(self.rng.uniform(0.05, 1.0))
-        # Named as the answer leaves; answers overtake one another.
+        # Read as the answer leaves; answers may arrive out of order.
         limit = engine.find_limit(self.world.now)
         await asyncio.sleep(self.rng.uniform(0.001, 0.05))
         if instance not in self.world.instances.values():
@@ -189,14 +191,14 @@
 
 
 def simulate(seed, seconds=60.0, fault_rate=0.0, instances=7, rate=25.0):
-    """Plays a seed; returns what was played.
+    """Runs the simulation of a seed and returns it.
 
     Args:
-        seed: Of all that is drawn.
-        seconds: How long requests come.
-        fault_rate: A second.
-        instances: How many there are.
-        rate: Requests a second, over all engines.
+        seed: Seeds all random draws.
+        seconds: For how long requests arrive.
+        fault_rate: Faults per second.
+        instances: Number of instances.
+        rate: Requests per second, over all engines.
     """
 
     async def body():
--- a/tests/stateful/order_engine.py
+++ b/tests/stateful/order_engine.py
@@ -1,6 +1,7 @@
-"""An engine that carries orders out as the platform's engines do.
+"""Simulates an engine that carries out orders as the platform's engines do.
 
-It is the oracle of the worlds: it notes every order that it has no room for.
+It is the oracle of the order simulations: it records every order that exceeds
+its memory or its adapter slots.
 """
 
 import asyncio
@@ -15,12 +16,12 @@
 MODEL_MB = 70_000.0
 ADAPTER_MB = 66.0
 MEMORY_MB = 220_000.0
-# Few places, so that adapters make way for each other all the time.
+# Few slots, so that adapters are evicted all the time.
 ADAPTER_SLOTS = 4
 MODELS = 10
 ADAPTERS = 8
-# Seconds: between an engine's entries, until one is listed at most, the age
-# of its reports, and the times of loads.
+# Interval between the entries of an engine, longest delay until an entry is
+# listed, age of its reports, and load times.
 HEARTBEAT_SECONDS = 1.2
 MAX_LISTING_DELAY_SECONDS = 0.8
 REPORT_LAG_SECONDS = 0.1
@@ -51,7 +52,7 @@
 
 
 def _make_route(version, number):
-    # Names of routes are drawn, as operators' are; they compress badly.
+    # Random names, since those of operators compress badly too.
     rng = random.Random(number)
     name = f"{rng.getrandbits(48):x}"
     return manifest.Route(
@@ -67,7 +68,7 @@
 
 
 class Engine:
-    """Carries orders out as the platform's engines do."""
+    """Carries out orders as the platform's engines do."""
 
     def __init__(self, world, name, address, models):
         self.world = world
@@ -87,7 +88,7 @@
         self.record_state()
 
     def restart(self):
-        """Starts again under its name: it holds and knows nothing."""
+        """Restarts under the same name, with empty memory and counts."""
         self.born += 1
         self.models = {}
         self.pending_adapters = {}
@@ -99,14 +100,14 @@
         self.schedule_listing()
 
     def call_later(self, seconds, finish, *args):
-        """Has work of this start finished, unless it starts again."""
+        """Schedules `finish` unless the engine restarts before."""
         self.world.call_later(seconds, self._finish, self.born, finish, args)
 
     def _finish(self, born, finish, args):
         if born == self.born:
             finish(*args)
 
-    # What it tells
+    # Reports and entries
 
     def state(self):
         return fleet.EngineState(
@@ -140,7 +141,7 @@
         )
 
     async def run_heartbeats(self):
-        """Writes its entry now and then; old ones may come after newer."""
+        """Writes the entry every 1.2 s; stale entries may follow newer ones."""
         while self.is_alive:
             self.schedule_listing()
             await asyncio.sleep(HEARTBEAT_SECONDS)
@@ -153,7 +154,9 @@
         self.world.call_later(delay, self.write_entry, entry)
         if rng.random() < self.world.faults.stale_entry:
             old = rng.choice(self.entries)
-            self.world.call_later(delay + rng.uniform(0, 2.0), self.write_entry, old)
+            self.world.call_later(
+                delay + rng.uniform(0, 2.0), self.write_entry, old
+            )
 
     def write_entry(self, entry):
         if self.is_alive:
@@ -175,7 +178,7 @@
     # Orders
 
     def take(self, order):
-        """Carries an order out; returns what it answers."""
+        """Carries out an order; returns the outcome that the engine answers."""
         outcome = self.answer_known(order)
         if outcome is not None:
             return outcome
@@ -199,7 +202,7 @@
         return engines_module.OrderOutcome.TAKEN
 
     def answer_known(self, order):
-        """Answers what holds or is under way, whatever count it names."""
+        """Answers orders that are done or in progress, whatever their count."""
         item = (order.model, order.adapter)
         held = self.models.get(order.model)
         is_held = held is not None and (
--- a/tests/stateful/order_network.py
+++ b/tests/stateful/order_network.py
@@ -1,6 +1,6 @@
-"""The store and the ways to it, to engines and between gateways.
+"""Simulates the store, and the network to it, to engines and to gateways.
 
-Everything may be lost, late or away, as the world's faults say.
+Calls and messages are lost, delayed or refused according to `Faults`.
 """
 
 import asyncio
@@ -11,14 +11,14 @@
 from wayslip.gateway import engines as engines_module
 from wayslip.gateway import store as store_module
 
-# What a caller of the store or an engine waits for an answer, seconds.
+# How long callers wait for an answer of the store or of an engine.
 STORE_TIMEOUT_SECONDS = 0.5
 ENGINE_TIMEOUT_SECONDS = 0.7
 
 
 @dataclasses.dataclass
 class Faults:
-    """What goes wrong now: chances, and who is affected."""
+    """Faults in force: probabilities, and names of the affected instances."""
 
     order_lost: float = 0.0
     answer_lost: float = 0.0
@@ -35,7 +35,7 @@
 
 
 class Link:
-    """An instance's link: what it carries goes one after the other."""
+    """Network link of an instance; transfers are serialised."""
 
     def __init__(self, world, bytes_per_s):
         self._world = world
@@ -44,7 +44,7 @@
         self.transferred_bytes = 0
 
     async def transfer(self, size):
-        """Returns once so many bytes have gone through."""
+        """Returns once `size` bytes have been transferred."""
         self.transferred_bytes += size
         began = max(self._free_at, self._world.now)
         self._free_at = began + size / self.bytes_per_s
@@ -53,7 +53,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Call:
-    """One call to the store: when, what, and whether it may be stale."""
+    """One call to the store; `may_be_stale` if it accepts a stale answer."""
 
     at: float
     verb: str
@@ -62,7 +62,7 @@
 
 
 class Store:
-    """The platform's store: objects by kind, and what changed."""
+    """The platform's store: objects by kind, and their changes."""
 
     def __init__(self, world):
         self.world = world
@@ -72,7 +72,7 @@
         self.objects = {}
         self.events = []
         self.calls = []
-        # Of an object of a kind, bytes; the others are small.
+        # Bytes of one object, by kind; other kinds take no transfer time.
         self.sizes = {}
         self.changed = asyncio.Event()
 
@@ -81,7 +81,7 @@
         self._backup = (self.revision, objects, list(self.events))
 
     def restore_backup(self):
-        """Loses what was written since; engines and operator write again."""
+        """Restores the backup; engines and the operator then write again."""
         lost = self.objects
         self.revision, self.objects, self.events = self._backup
         self.era += 1
@@ -114,7 +114,7 @@
             self._publish(kind, name, None)
 
     def count_calls(self, since, until, **wanted):
-        """Returns how many calls of some kind came in a span of time."""
+        """Returns the number of calls in a period whose fields match."""
         return sum(
             since <= call.at < until
             and all(getattr(call, k) == v for k, v in wanted.items())
@@ -127,15 +127,17 @@
         self.changed = asyncio.Event()
 
     def write(self, kind, name, revision, value):
-        """Writes if the revision is still that; returns the new one."""
+        """Writes if the revision is current; returns the new revision."""
         known = self.objects.get(kind, {}).get(name)
         if (known[0] if known else 0) != revision:
-            raise errors.ObjectConflictError("it was changed", "read it again")
+            raise errors.ObjectConflictError(
+                "the object was changed", "read it again"
+            )
         return self.put(kind, name, value)
 
 
 class StoreClient:
-    """One instance's way to the store."""
+    """Store client of one instance."""
 
     def __init__(self, world, owner):
         self._world = world
@@ -152,7 +154,7 @@
         self._listeners.append(listener)
 
     def _process_era(self, era):
-        """Takes in an answer's era, as the platform's client does."""
+        """Processes the era of an answer, as the platform's client does."""
         if self._era is not None and era < self._era:
             raise errors.ObjectUnavailableError("an earlier era", "wait")
         before, self._era = self._era, era
@@ -228,7 +230,7 @@
         )
 
     async def _receive(self, kind, count):
-        """Waits until objects of a kind have come over our link."""
+        """Waits until objects of a kind are transferred over the link."""
         size = self._store.sizes.get(kind.name, 0)
         if size and count:
             await self._world.links[self._owner].transfer(size * count)
@@ -288,7 +290,7 @@
 
 
 class EngineClient:
-    """One instance's way to the engines."""
+    """Engine client of one instance."""
 
     def __init__(self, world, owner):
         self._world = world
@@ -345,7 +347,7 @@
 
 
 class CopyClient:
-    """One instance's way to the configurations of others."""
+    """Client of one instance for configuration copies of other instances."""
 
     def __init__(self, world, owner):
         self._world = world
--- a/tests/stateful/order_troubles.py
+++ b/tests/stateful/order_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles that strike a world, drawn from its seed."""
+"""Faults for the order simulations, drawn from the seed of each."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 def register_fault(weight):
-    """Registers a trouble; `weight` is its weight among all."""
+    """Registers a fault that is drawn with the relative `weight`."""
 
     def register(function):
         _FAULTS[function] = weight
@@ -106,7 +106,7 @@
 
 @register_fault(2)
 def expire_entries(world):
-    """Entries go while their engines live, and come back with a beat."""
+    """Drops entries of running engines until their next heartbeat."""
     for name in list(world.engines):
         if world.rng.random() < 0.5:
             world.store.drop("servers", name)
@@ -141,12 +141,12 @@
 
 
 def simulate(seed, seconds=40.0, fault_rate=0.7, restarts=0.0):
-    """Plays one world; returns it.
+    """Runs one simulation and returns its world.
 
     Args:
-        seed: Of all that is drawn.
-        seconds: How long.
-        fault_rate: A second.
-        restarts: Engines that start again under their name, a second.
+        seed: Seeds all random draws.
+        seconds: Duration.
+        fault_rate: Faults per second.
+        restarts: Engine restarts under the same name, per second.
     """
     return simulated_loop.run(_simulate(seed, seconds, fault_rate, restarts))
--- a/tests/stateful/order_world.py
+++ b/tests/stateful/order_world.py
@@ -1,7 +1,7 @@
-"""Real gateways' planning over fake engines, store and network.
+"""Runs placement in real gateways over simulated engines, store and network.
 
-Everything runs in simulated time on one event loop, drawn from a seed. The
-gateways are whole but for their servers; what they reach is played here.
+Everything runs in simulated time on one event loop, and all random draws come
+from one seed. The gateways are complete except for their servers.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 from wayslip.gateway import options as options_module
 from wayslip.gateway import store as store_module
 
-# Bytes a second.
+# Bytes per second (1 Gbit/s).
 FAST_LINK = 125_000_000
 
 
 class Instance:
-    """One gateway without its servers, and the requests that come to it."""
+    """One gateway without its servers, and the requests that it receives."""
 
     def __init__(self, world, name, address, cores=1.0):
         self.world = world
@@ -60,7 +60,7 @@
         ]
 
     def _make(self, platform):
-        # Its servers want addresses, though they are never started.
+        # The servers need addresses although they are never started.
         options = dataclasses.replace(
             self.options, callers="127.0.0.1:1", readiness="127.0.0.1:1"
         )
@@ -72,21 +72,22 @@
         hub._rng = self.world.rng
         gateway._configuration_sync.distribution._rng = self.world.rng
         broadcast = hub.broadcast
-        # In order, or a seed would play otherwise in every process.
+        # Sorted, since the order of sets differs between processes and would
+        # make a seed irreproducible.
         hub.broadcast = lambda message, peers: broadcast(
             message, sorted(peers, key=str)
         )
         return gateway
 
     def kill(self):
-        """Ends the process without a word."""
+        """Simulates a crash: stops all tasks without notifying peers."""
         self.gateway._planner.end()
         self.gateway._quarantine.close()
         for task in self.tasks:
             task.cancel()
 
     async def _send_requests(self):
-        """Plays requests: to an engine that holds their adapter, or a wish."""
+        """Sends requests to engines with the adapter, or requests a load."""
         rng = self.world.rng
         while True:
             await asyncio.sleep(rng.expovariate(self.world.rate))
@@ -118,7 +119,7 @@
 
 
 class World:
-    """All of it, from one seed."""
+    """The simulated system of one seed."""
 
     def __init__(
         self,
@@ -133,15 +134,15 @@
         random.seed(seed)
         self.loop = asyncio.get_running_loop()
         self.rate = rate
-        # Of instances by number; the others have one.
+        # Cores by instance number; other instances have one.
         self.cores = cores or {}
-        # Bytes a second, of instances by number; the others have 1 Gbit/s.
+        # Bytes per second by instance number; others have `FAST_LINK`.
         self.link_rates = links or {}
         self.links = {}
         self.faults = order_network.Faults()
         self.adapter_seconds = order_engine.ADAPTER_SECONDS
         self.overcommits = []
-        # Orders as they arrived: when, at which engine, whose, which token.
+        # Orders in order of arrival: time, engine, sender, fencing token.
         self.orders = []
         self.orders_taken = 0
         self.restarts = 0
@@ -169,7 +170,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def draw_item(self):
-        """Draws a model and an adapter; which are asked for moves on."""
+        """Draws a model and an adapter; `demand_shift` moves the demand."""
         rank = min(int(self.rng.expovariate(0.5)), order_engine.MODELS - 1)
         model = f"m{(rank + self.demand_shift) % order_engine.MODELS}"
         return model, f"a{self.rng.randint(1, order_engine.ADAPTERS)}"
--- a/tests/stateful/quota_world.py
+++ b/tests/stateful/quota_world.py
@@ -1,7 +1,8 @@
-"""Instances that share quotas, in simulated time, over a lossy network.
+"""Simulates instances that share quotas over a lossy network.
 
-Every instance runs the real limiter, whoever holds the lease the real ledger.
-Clients keep to few instances, as a balancer that hashes them makes them.
+Every instance runs the real limiter, and the lease holder the real quota
+accounts. The clients of an organisation use few instances, as behind a load
+balancer that hashes them.
 """
 
 import collections
@@ -48,21 +49,21 @@
     number: int = 0
     due: float = 0.0
     is_isolated: bool = False
-    # Whom it reports to: the holder that it heard last.
+    # The last known lease holder, which receives the reports.
     holder: int = 0
     term: int = 0
 
 
 class QuotaWorld:
-    """Counts what is sent on, and what is refused beneath the quota.
+    """Counts units that are forwarded, and units refused within the quota.
 
     Args:
-        seed: Of everything that is drawn.
-        count: Instances.
-        rates: Quota of each organisation, units a second; its burst is that
+        seed: Seeds all random draws.
+        count: Number of instances.
+        rates: Quota of each organisation, units per second; its burst is that
             of one second.
-        delay: Of a message, seconds; drawn up to this.
-        loss: Share of the messages that get lost.
+        delay: Longest delay of a message, seconds.
+        loss: Fraction of the messages that are lost.
     """
 
     def __init__(self, seed, count, rates, delay=0.06, loss=0.02):
@@ -95,7 +96,7 @@
         self.requested = collections.Counter()
         self._remaining = {n: (r, self.clock.at) for n, r in rates.items()}
         self._begin_term()
-        # Instances hear the holder before their clients come.
+        # Instances receive state from the holder before requests arrive.
         self.run(3.0, {})
 
     @contextlib.contextmanager
@@ -123,15 +124,15 @@
             self.version, (), {}, organisations=found
         )
 
-    # Troubles
+    # Faults
 
     def restart(self, number):
-        """Kills an instance's process and starts another."""
+        """Replaces the process of an instance by a new one."""
         old = self.instances[number]
         self.instances[number] = self._start(old.name, old.process + 1)
 
     def transfer_lease(self, number):
-        """Has another instance take the lease."""
+        """Transfers the lease to another instance."""
         self.holder = number
         self.term += 1
         self.announced = ()
@@ -139,7 +140,7 @@
         self.state_due = self.clock.at
 
     def kill_all(self):
-        """Kills every process; others start, and nobody has the lease."""
+        """Restarts every process; no instance holds the lease afterwards."""
         self._messages.clear()
         for number in range(len(self.instances)):
             self.restart(number)
@@ -149,12 +150,12 @@
     # Time
 
     def run(self, seconds, demand, isolated=()):
-        """Plays on.
+        """Continues the simulation.
 
         Args:
-            seconds: How long.
-            demand: Units a second that each organisation asks for.
-            isolated: Instances that hear and are heard by nobody.
+            seconds: Duration.
+            demand: Units per second that each organisation requests.
+            isolated: Numbers of instances that exchange no messages.
         """
         for number, instance in enumerate(self.instances):
             instance.is_isolated = number in isolated
@@ -188,7 +189,7 @@
             self.refused[name] += units
 
     def _find_remaining(self, name):
-        """Returns what the quota leaves after all that was sent on."""
+        """Returns the units that the quota leaves after those forwarded."""
         level, at = self._remaining[name]
         rate = self.organisations[name].quota.rate
         return min(level + rate * (self.clock.at - at), rate)
@@ -260,12 +261,12 @@
                 target.term, target.holder = message.term, message.revision
                 target.limiter.apply_state(message)
 
-    # What counts
+    # Results
 
     def find_excess(self, name):
-        """Returns by how many units the worst window exceeds what is allowed.
+        """Returns by how many units the worst window exceeds the allowance.
 
-        Below zero where it stays beneath.
+        Negative if every window stays below it.
         """
         rate = self.rates[name]
         allowed = (rate * WINDOW_SECONDS + rate) * (1 + TOLERANCE) + SLACK_UNITS
@@ -280,5 +281,5 @@
         return worst - allowed
 
     def find_wrongly_refused(self, name):
-        """Returns the share of the units that were refused beneath a quota."""
+        """Returns the fraction of units that were refused within the quota."""
         return self.refused[name] / max(self.requested[name], 1.0)
--- a/tests/stateful/simulated_loop.py
+++ b/tests/stateful/simulated_loop.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock moves only when everything waits."""
+"""An event loop on simulated time."""
 
 import asyncio
 import selectors
@@ -7,20 +7,20 @@
 
 
 class _SimulatedSelector(selectors.DefaultSelector):
-    """Lets time pass at once where a loop would wait."""
+    """Advances the simulated time instead of blocking."""
 
     def __init__(self):
         super().__init__()
         self.now = 1000.0
 
     def select(self, timeout=None):
-        assert timeout is not None, "nothing is left to happen"
+        assert timeout is not None, "deadlock: no callback is scheduled"
         self.now += timeout
         return []
 
 
 class SimulatedLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock only moves when everything waits."""
+    """An event loop whose clock advances only when all tasks wait."""
 
     def __init__(self):
         self.simulated = _SimulatedSelector()
--- a/tests/stateful/suspect_world.py
+++ b/tests/stateful/suspect_world.py
@@ -1,7 +1,7 @@
-"""Requests that end engines, at real gateways over a fake network.
+"""Simulates requests that crash engines, with real gateways.
 
-What gateways know of such requests is their own; the engines that end are
-played here, with whatever was on its way to them.
+The gateways detect such requests with their own code. The network, the engines
+and the requests in flight are simulated.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 POISON = (b"deadly-1", b"deadly-2")
 ANSWERED = b"common"
-# An instance is in touch once nothing has troubled it for so long, seconds.
+# An instance is in contact once it has been free of faults for this time.
 CONTACT_SECONDS = 3.0
 FAULTS = (
     order_troubles.kill_holder,
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass
 class Sent:
-    """A request on its way to an engine."""
+    """A request in flight to an engine."""
 
     content: bytes
     instance: object
@@ -39,7 +39,7 @@
 
 
 class Engine:
-    """One engine; each start of it is an endpoint of its own."""
+    """One engine; each incarnation of it is a separate endpoint."""
 
     def __init__(self, number):
         self.number = number
@@ -58,14 +58,14 @@
 
 
 async def _refuse(address):
-    raise errors.NobodyListensError("nobody listens", "start it")
+    raise errors.NobodyListensError("connection refused", "start the endpoint")
 
 
 @dataclasses.dataclass
 class ContentRecord:
-    """What happened to one content: ends, and sends by those in touch.
+    """Crashes under one content, and its sends by instances in contact.
 
-    Each attempt at it that was on its way to an engine that ended counts.
+    Each attempt in flight to an engine as it crashed counts as one crash.
     """
 
     crashes: list = dataclasses.field(default_factory=list)
@@ -73,14 +73,14 @@
     refused: list = dataclasses.field(default_factory=list)
 
     def list_sends(self, seconds):
-        """Returns the sends later than so long after the third end."""
+        """Returns the sends more than `seconds` after the third crash."""
         if len(self.crashes) < 3:
             return []
         return [at for at in self.sends if at > self.crashes[2] + seconds]
 
 
 class Simulation:
-    """One seed's requests and troubles."""
+    """The requests and faults drawn from one seed."""
 
     def __init__(self, seed, engines=5, instances=5):
         self.world = order_world.World(
@@ -89,7 +89,7 @@
         self.rng = self.world.rng
         self.engines = [Engine(n) for n in range(engines)]
         self.records = {}
-        # When engines ended.
+        # Times of engine crashes.
         self.crashes = []
         self._disturbed_at = {}
         self._number = 0
@@ -117,7 +117,7 @@
             self.rng.choice(FAULTS)(self.world)
 
     async def _watch(self):
-        """Notes who is troubled, so that it is not in touch."""
+        """Records disturbed instances, which are not in contact."""
         known = {}
         while True:
             faults = self.world.faults
@@ -201,12 +201,12 @@
 
 
 def simulate(seed, seconds=60.0, fault_rate=0.0):
-    """Plays a seed; returns what was played.
+    """Runs the simulation of a seed and returns it.
 
     Args:
-        seed: Of all that is drawn.
-        seconds: How long requests come.
-        fault_rate: A second.
+        seed: Seeds all random draws.
+        seconds: For how long requests arrive.
+        fault_rate: Faults per second.
     """
 
     async def body():
