--- a/tests/stateful/test_large_configurations.py
+++ b/tests/stateful/test_large_configurations.py
@@ -58,16 +58,16 @@
 async def _simulate_two_changes(seed):
     world = _make_world(seed)
     await asyncio.sleep(10.0)
-    before = sum(link.transferred for link in world.links.values())
+    before = sum(link.transferred_bytes for link in world.links.values())
     first = asyncio.create_task(_put(world, 2))
     await asyncio.sleep(0.5)
     second = await _put(world, 3)
     await first
-    transferred = (
-        sum(link.transferred for link in world.links.values()) - before
+    transferred_bytes = (
+        sum(link.transferred_bytes for link in world.links.values()) - before
     )
     world.stop()
-    return second, transferred
+    return second, transferred_bytes
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -77,9 +77,9 @@
 
 
 def test_content_of_a_change_is_not_sent_whole_to_each_instance():
-    _, transferred = simulated_loop.run(_simulate_two_changes(7))
+    _, transferred_bytes = simulated_loop.run(_simulate_two_changes(7))
     # It is 76 MB if each instance reads both changes from the store.
-    assert transferred < 20 * _SIZE_BYTES
+    assert transferred_bytes < 20 * _SIZE_BYTES
 
 
 async def _simulate_disconnection(seed):
--- a/tests/stateful/test_ledger_machine.py
+++ b/tests/stateful/test_ledger_machine.py
@@ -40,7 +40,7 @@
 
     @stateful.rule(number=CONTROL_NUMBERS)
     def look_again(self, number):
-        self.world.look_again(self.world.controls[number])
+        self.world.confirm_writes(self.world.controls[number])
 
     @stateful.rule(number=CONTROL_NUMBERS)
     def withdraw(self, number):
