--- a/tests/stateful/order_world.py
+++ b/tests/stateful/order_world.py
@@ -1,7 +1,7 @@
-"""Real gateways' planning over fake engines, store and network.
+"""Runs placement in real gateways over simulated engines, store and network.
 
-Everything runs in simulated time on one event loop, drawn from a seed. The
-gateways are whole but for their servers; what they reach is played here.
+Everything runs in simulated time on one event loop, and all random draws come
+from one seed. The gateways are complete except for their servers.
 """
 
 import asyncio
@@ -16,12 +16,12 @@
 from wayslip.gateway import options as options_module
 from wayslip.gateway import store as store_module
 
-# Bytes a second.
+# Bytes per second (1 Gbit/s).
 FAST_LINK = 125_000_000
 
 
 class Instance:
-    """One gateway without its servers, and the requests that come to it."""
+    """One gateway without its servers, and the requests that it receives."""
 
     def __init__(self, world, name, address, cores=1.0):
         self.world = world
@@ -55,38 +55,39 @@
                 self.gateway._planner.run(),
                 self.gateway._announcer.run(self.gateway._find_store_progress),
                 self.gateway._quarantine.run(),
-                self._ask(),
+                self._send_requests(),
             )
         ]
 
     def _make(self, platform):
-        # Its servers want addresses, though they are never started.
+        # The servers need addresses although they are never started.
         options = dataclasses.replace(
             self.options, callers="127.0.0.1:1", readiness="127.0.0.1:1"
         )
         gateway = daemon.Gateway(options, platform)
-        gateway._hub._transport = order_network.Wire(
+        gateway._hub._transport = order_network.Transport(
             self.world, self.options.name, self.address
         )
         hub = gateway._hub
         hub._rng = self.world.rng
         gateway._configuration_sync.distribution._rng = self.world.rng
         broadcast = hub.broadcast
-        # In order, or a seed would play otherwise in every process.
+        # Sorted, since the order of sets differs between processes and would
+        # make a seed irreproducible.
         hub.broadcast = lambda message, peers: broadcast(
             message, sorted(peers, key=str)
         )
         return gateway
 
     def kill(self):
-        """Ends the process without a word."""
+        """Simulates a crash: stops all tasks without notifying peers."""
         self.gateway._planner.end()
         self.gateway._quarantine.close()
         for task in self.tasks:
             task.cancel()
 
-    async def _ask(self):
-        """Plays requests: to an engine that holds their adapter, or a wish."""
+    async def _send_requests(self):
+        """Sends requests to engines with the adapter, or requests a load."""
         rng = self.world.rng
         while True:
             await asyncio.sleep(rng.expovariate(self.world.rate))
@@ -101,11 +102,11 @@
                 task = asyncio.create_task(
                     placement.request_item(order_engine.SERVICE, traits, 0.4)
                 )
-                self.world.keep(task)
+                self.world.track_task(task)
                 continue
             engine = self.world.engines.get(name)
             if engine is not None:
-                engine.use(model, adapter, rng.uniform(0.1, 1.5))
+                engine.mark_in_use(model, adapter, rng.uniform(0.1, 1.5))
 
     def _find(self, model, adapter):
         view = self.gateway.view
@@ -118,7 +119,7 @@
 
 
 class World:
-    """All of it, from one seed."""
+    """The simulated system of one seed."""
 
     def __init__(
         self,
@@ -133,19 +134,19 @@
         random.seed(seed)
         self.loop = asyncio.get_running_loop()
         self.rate = rate
-        # Of instances by number; the others have one.
+        # Cores by instance number; other instances have one.
         self.cores = cores or {}
-        # Bytes a second, of instances by number; the others have 1 Gbit/s.
-        self.rates = links or {}
+        # Bytes per second by instance number; others have `FAST_LINK`.
+        self.link_rates = links or {}
         self.links = {}
         self.faults = order_network.Faults()
         self.adapter_seconds = order_engine.ADAPTER_SECONDS
-        self.over = []
-        # Orders as they arrived: when, at which engine, whose, which token.
+        self.overcommits = []
+        # Orders in order of arrival: time, engine, sender, fencing token.
         self.orders = []
-        self.taken = 0
+        self.orders_taken = 0
         self.restarts = 0
-        self.shift = 0
+        self.demand_shift = 0
         self.started = 0
         self.store = order_network.Store(self)
         self.store.put("config", "main", order_engine.make_manifest())
@@ -161,17 +162,17 @@
     def now(self):
         return self.loop.time()
 
-    def later(self, seconds, call, *args):
+    def call_later(self, seconds, call, *args):
         self.loop.call_later(seconds, call, *args)
 
-    def keep(self, task):
+    def track_task(self, task):
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def draw_item(self):
-        """Draws a model and an adapter; which are asked for moves on."""
+        """Draws a model and an adapter; `demand_shift` moves the demand."""
         rank = min(int(self.rng.expovariate(0.5)), order_engine.MODELS - 1)
-        model = f"m{(rank + self.shift) % order_engine.MODELS}"
+        model = f"m{(rank + self.demand_shift) % order_engine.MODELS}"
         return model, f"a{self.rng.randint(1, order_engine.ADAPTERS)}"
 
     # Engines
@@ -186,33 +187,35 @@
             self, name, f"10.0.0.{self.started}:1", models
         )
         self.engines[name] = engine
-        self.keep(self.loop.create_task(engine.beat()))
+        self.track_task(self.loop.create_task(engine.run_heartbeats()))
 
     def remove_engine(self):
         name = self.rng.choice(list(self.engines))
         self.engines.pop(name).is_alive = False
-        self.later(self.rng.uniform(0.5, 4.0), self.store.drop, "servers", name)
+        self.call_later(
+            self.rng.uniform(0.5, 4.0), self.store.drop, "servers", name
+        )
         self.add_engine()
 
-    def arrive(self, engine, order):
+    def deliver_order(self, engine, order):
         if not engine.is_alive:
             return engines_module.OrderOutcome.ELSEWHERE
         outcome = engine.take(order)
-        self.taken += outcome is engines_module.OrderOutcome.TAKEN
+        self.orders_taken += outcome is engines_module.OrderOutcome.TAKEN
         return outcome
 
-    def note_order(self, engine, owner, token):
+    def record_order(self, engine, owner, token):
         self.orders.append((self.now, engine.name, owner, token))
 
-    def note_over(self, engine, order):
-        self.over.append((round(self.now - 1000, 3), engine.name, order))
+    def record_overcommit(self, engine, order):
+        self.overcommits.append((round(self.now - 1000, 3), engine.name, order))
 
     # Instances
 
     def start(self, number):
         address = (f"10.0.1.{number}", 1)
         name = f"g{number}"
-        rate = self.rates.get(number, FAST_LINK)
+        rate = self.link_rates.get(number, FAST_LINK)
         self.links[name] = order_network.Link(self, rate)
         self.instances[address] = Instance(
             self, name, address, self.cores.get(number, 1.0)
@@ -222,7 +225,7 @@
         instance = self.instances.pop((f"10.0.1.{number}", 1), None)
         if instance is not None:
             instance.kill()
-            self.later(self.rng.uniform(0.3, 4.0), self.start, number)
+            self.call_later(self.rng.uniform(0.3, 4.0), self.start, number)
 
     def find_holder(self):
         for (host, _), instance in self.instances.items():
--- a/tests/stateful/quota_world.py
+++ b/tests/stateful/quota_world.py
@@ -1,7 +1,8 @@
-"""Instances that share quotas, in simulated time, over a lossy network.
+"""Simulates instances that share quotas over a lossy network.
 
-Every instance runs the real limiter, whoever holds the lease the real ledger.
-Clients keep to few instances, as a balancer that hashes them makes them.
+Every instance runs the real limiter, and the lease holder the real quota
+accounts. The clients of an organisation use few instances, as behind a load
+balancer that hashes them.
 """
 
 import collections
@@ -19,14 +20,14 @@
 from wayslip.gateway import limits
 from wayslip.gateway import quota_accounts
 
-STEP = 0.01
-REPORT = 0.25
-STATE = 0.25
-WINDOW = 8.0
-OVER = 0.1
-SLACK = 17_000.0
-PROMPT = 2_400
-ALLOWANCE = quota.Allowance(WINDOW, OVER, SLACK)
+STEP_SECONDS = 0.01
+REPORT_SECONDS = 0.25
+STATE_SECONDS = 0.25
+WINDOW_SECONDS = 8.0
+TOLERANCE = 0.1
+SLACK_UNITS = 17_000.0
+PROMPT_UNITS = 2_400
+ALLOWANCE = quota.Allowance(WINDOW_SECONDS, TOLERANCE, SLACK_UNITS)
 
 
 class Clock:
@@ -47,22 +48,22 @@
     process: int = 0
     number: int = 0
     due: float = 0.0
-    is_cut: bool = False
-    # Whom it reports to: the holder that it heard last.
+    is_isolated: bool = False
+    # The last known lease holder, which receives the reports.
     holder: int = 0
     term: int = 0
 
 
 class QuotaWorld:
-    """Counts what is sent on, and what is refused beneath the quota.
+    """Counts units that are forwarded, and units refused within the quota.
 
     Args:
-        seed: Of everything that is drawn.
-        count: Instances.
-        rates: Quota of each organisation, units a second; its burst is that
+        seed: Seeds all random draws.
+        count: Number of instances.
+        rates: Quota of each organisation, units per second; its burst is that
             of one second.
-        delay: Of a message, seconds; drawn up to this.
-        loss: Share of the messages that get lost.
+        delay: Longest delay of a message, seconds.
+        loss: Fraction of the messages that are lost.
     """
 
     def __init__(self, seed, count, rates, delay=0.06, loss=0.02):
@@ -81,21 +82,21 @@
         }
         self.version = 1
         self.instances = [self._start(f"i{n}", 0) for n in range(count)]
-        self.homes = {
+        self.assigned_instances = {
             name: self.rng.choices(range(count), k=11) for name in rates
         }
         self.holder = 0
         self.term = 1
-        self.told = ()
+        self.announced = ()
         self.state_due = 0.0
         self._messages = []
-        self._order = 0
+        self._sequence = 0
         self.sent = collections.defaultdict(list)
         self.refused = collections.Counter()
-        self.asked = collections.Counter()
-        self._left = {n: (r, self.clock.at) for n, r in rates.items()}
+        self.requested = collections.Counter()
+        self._remaining = {n: (r, self.clock.at) for n, r in rates.items()}
         self._begin_term()
-        # Instances hear the holder before their clients come.
+        # Instances receive state from the holder before requests arrive.
         self.run(3.0, {})
 
     @contextlib.contextmanager
@@ -123,23 +124,23 @@
             self.version, (), {}, organisations=found
         )
 
-    # Troubles
+    # Faults
 
     def restart(self, number):
-        """Kills an instance's process and starts another."""
+        """Replaces the process of an instance by a new one."""
         old = self.instances[number]
         self.instances[number] = self._start(old.name, old.process + 1)
 
-    def hand_over(self, number):
-        """Has another instance take the lease."""
+    def transfer_lease(self, number):
+        """Transfers the lease to another instance."""
         self.holder = number
         self.term += 1
-        self.told = ()
+        self.announced = ()
         self._begin_term()
         self.state_due = self.clock.at
 
     def kill_all(self):
-        """Kills every process; others start, and nobody has the lease."""
+        """Restarts every process; no instance holds the lease afterwards."""
         self._messages.clear()
         for number in range(len(self.instances)):
             self.restart(number)
@@ -148,79 +149,81 @@
 
     # Time
 
-    def run(self, seconds, demand, cuts=()):
-        """Plays on.
+    def run(self, seconds, demand, isolated=()):
+        """Continues the simulation.
 
         Args:
-            seconds: How long.
-            demand: Units a second that each organisation asks for.
-            cuts: Instances that hear and are heard by nobody.
+            seconds: Duration.
+            demand: Units per second that each organisation requests.
+            isolated: Numbers of instances that exchange no messages.
         """
         for number, instance in enumerate(self.instances):
-            instance.is_cut = number in cuts
+            instance.is_isolated = number in isolated
         end = self.clock.at + seconds
         with self._patch_time():
             while self.clock.at < end:
-                self.clock.at += STEP
+                self.clock.at += STEP_SECONDS
                 self._deliver()
                 for name, rate in demand.items():
-                    self._ask(name, rate)
-                self._talk()
+                    self._send_requests(name, rate)
+                self._exchange_messages()
 
-    def _ask(self, name, rate):
-        mean = rate * STEP / PROMPT
+    def _send_requests(self, name, rate):
+        mean = rate * STEP_SECONDS / PROMPT_UNITS
         while mean > 0:
             if self.rng.random() < min(mean, 1.0):
-                self._ask_once(name)
+                self._send_request(name)
             mean -= 1.0
 
-    def _ask_once(self, name):
-        units = self.rng.uniform(0.2, 1.8) * PROMPT
-        home = self.rng.choice(self.homes[name])
+    def _send_request(self, name):
+        units = self.rng.uniform(0.2, 1.8) * PROMPT_UNITS
+        assigned = self.rng.choice(self.assigned_instances[name])
         organisation = self.organisations[name]
-        wait = self.instances[home].limiter.admit(organisation, units)
-        self.asked[name] += units
-        left = self._find_left(name)
+        wait = self.instances[assigned].limiter.admit(organisation, units)
+        self.requested[name] += units
+        remaining = self._find_remaining(name)
         if wait is None:
             self.sent[name].append((self.clock.at, units))
-            self._left[name] = (left - units, self.clock.at)
-        elif left >= units:
+            self._remaining[name] = (remaining - units, self.clock.at)
+        elif remaining >= units:
             self.refused[name] += units
 
-    def _find_left(self, name):
-        """Returns what the quota leaves after all that was sent on."""
-        level, at = self._left[name]
+    def _find_remaining(self, name):
+        """Returns the units that the quota leaves after those forwarded."""
+        level, at = self._remaining[name]
         rate = self.organisations[name].quota.rate
         return min(level + rate * (self.clock.at - at), rate)
 
-    def _talk(self):
+    def _exchange_messages(self):
         now = self.clock.at
         for instance in self.instances:
-            is_hasty = instance.limiter.is_report_due
-            if now >= instance.due or is_hasty:
-                instance.due = now + REPORT
+            is_early = instance.limiter.is_report_due
+            if now >= instance.due or is_early:
+                instance.due = now + REPORT_SECONDS
                 self._report(instance)
         if self.holder is None:
             return
         holder = self.instances[self.holder]
-        if now >= self.state_due or holder.accounts.should_announce(self.told):
-            self.state_due = now + STATE
-            self.told = holder.accounts.list_levels()
+        if now >= self.state_due or holder.accounts.should_announce(
+            self.announced
+        ):
+            self.state_due = now + STATE_SECONDS
+            self.announced = holder.accounts.list_levels()
             for instance in self.instances:
                 self._send(holder, instance, self._make_state())
 
     def _make_state(self):
-        seen = facts.WatchProgress(0, 0.0)
+        progress = facts.WatchProgress(0, 0.0)
         return facts.State(
             self.term,
             self.holder,
             "",
             True,
             1,
-            seen,
-            seen,
+            progress,
+            progress,
             (),
-            levels=self.told,
+            levels=self.announced,
         )
 
     def _report(self, instance):
@@ -242,11 +245,11 @@
     def _send(self, source, target, message):
         if source is not target:
             is_lost = self.rng.random() < self.loss
-            if source.is_cut or target.is_cut or is_lost:
+            if source.is_isolated or target.is_isolated or is_lost:
                 return
         at = self.clock.at + self.rng.uniform(0.005, self.delay)
-        self._order += 1
-        heapq.heappush(self._messages, (at, self._order, target, message))
+        self._sequence += 1
+        heapq.heappush(self._messages, (at, self._sequence, target, message))
 
     def _deliver(self):
         while self._messages and self._messages[0][0] <= self.clock.at:
@@ -258,25 +261,25 @@
                 target.term, target.holder = message.term, message.revision
                 target.limiter.apply_state(message)
 
-    # What counts
+    # Results
 
     def find_excess(self, name):
-        """Returns by how many units the worst window exceeds what is allowed.
+        """Returns by how many units the worst window exceeds the allowance.
 
-        Below zero where it stays beneath.
+        Negative if every window stays below it.
         """
         rate = self.rates[name]
-        allowed = (rate * WINDOW + rate) * (1 + OVER) + SLACK
+        allowed = (rate * WINDOW_SECONDS + rate) * (1 + TOLERANCE) + SLACK_UNITS
         worst, total = 0.0, 0.0
         window = collections.deque()
         for at, units in self.sent[name]:
             window.append((at, units))
             total += units
-            while window[0][0] < at - WINDOW:
+            while window[0][0] < at - WINDOW_SECONDS:
                 total -= window.popleft()[1]
             worst = max(worst, total)
         return worst - allowed
 
     def find_wrongly_refused(self, name):
-        """Returns the share of the units that were refused beneath a quota."""
-        return self.refused[name] / max(self.asked[name], 1.0)
+        """Returns the fraction of units that were refused within the quota."""
+        return self.refused[name] / max(self.requested[name], 1.0)
--- a/tests/stateful/test_large_configurations.py
+++ b/tests/stateful/test_large_configurations.py
@@ -1,17 +1,10 @@
-"""Configurations that are large for the links that carry them.
+"""Configurations that are large for the links of the instances.
 
-Two changes came within seconds, of 1.05 MB each. Links of 5 Mbit/s carry that
-in 1.7 s, so an instance that reads every change for itself is still at the
-first one when the second comes, and has that up to 3.9 s later; 3 s are
-allowed. Until then it goes by the version before, and its callers share a link
-that is full:
-
-    64.86 configuration_in_force version=20 on those with wide links
-    67.34 version 23 is sent
-    65 to 76 s: 340 to 600 KB in each second on front-sala-milano-3
-
-Cause: the content of a change reached every instance from the store alone,
-whole, however many others had it already.
+A link of 5 Mbit/s transfers a configuration of 1.05 MB in 1.7 s. If every
+instance reads every change whole from the store, two changes within seconds
+queue up: the second is in force up to 3.9 s after it was acknowledged, where
+3 s are allowed, and callers share a saturated link meanwhile. So instances also
+serve changes to each other.
 """
 
 import asyncio
@@ -23,12 +16,12 @@
 from tests.stateful import simulated_loop
 
 _INSTANCES = 40
-_STRONG = range(3)
-# Of the first report: bytes a second, bytes, and seconds from an
-# acknowledgement until a configuration must be in force.
-_NARROW = 625_000
-_SIZE = 1_050_000
-_BOUND = 3.0
+_STRONG_INSTANCES = range(3)
+# Rate of the narrow links, size of a configuration, and the time allowed from
+# the acknowledgement of a configuration until it must be in force.
+_NARROW_BYTES_PER_S = 625_000
+_SIZE_BYTES = 1_050_000
+_BOUND_SECONDS = 3.0
 
 
 def _make_world(seed):
@@ -37,15 +30,19 @@
         engines=2,
         instances=_INSTANCES,
         rate=0.01,
-        cores=dict.fromkeys(_STRONG, 4.0),
-        links={n: _NARROW for n in range(_INSTANCES) if n not in _STRONG},
+        cores=dict.fromkeys(_STRONG_INSTANCES, 4.0),
+        links={
+            n: _NARROW_BYTES_PER_S
+            for n in range(_INSTANCES)
+            if n not in _STRONG_INSTANCES
+        },
     )
-    world.store.sizes["config"] = _SIZE
+    world.store.sizes["config"] = _SIZE_BYTES
     return world
 
 
 async def _put(world, version):
-    """Puts a configuration; returns when all instances have it, seconds."""
+    """Writes a configuration; returns seconds until all instances have it."""
     manifest = order_engine.make_manifest(version, routes=4200)
     world.store.put("config", "main", manifest)
     began = world.now
@@ -58,37 +55,39 @@
     return world.now - began
 
 
-async def _play_two_changes(seed):
+async def _simulate_two_changes(seed):
     world = _make_world(seed)
     await asyncio.sleep(10.0)
-    before = sum(link.carried for link in world.links.values())
+    before = sum(link.transferred_bytes for link in world.links.values())
     first = asyncio.create_task(_put(world, 2))
     await asyncio.sleep(0.5)
     second = await _put(world, 3)
     await first
-    carried = sum(link.carried for link in world.links.values()) - before
+    transferred_bytes = (
+        sum(link.transferred_bytes for link in world.links.values()) - before
+    )
     world.stop()
-    return second, carried
+    return second, transferred_bytes
 
 
 @pytest.mark.parametrize("seed", range(4))
 def test_second_change_is_in_force_in_time(seed):
-    seconds, _ = simulated_loop.run(_play_two_changes(seed))
-    assert seconds < _BOUND / 2
+    seconds, _ = simulated_loop.run(_simulate_two_changes(seed))
+    assert seconds < _BOUND_SECONDS / 2
 
 
-def test_content_of_a_change_is_not_carried_whole_to_each_instance():
-    _, carried = simulated_loop.run(_play_two_changes(7))
-    # 76 MB if each reads both from the store.
-    assert carried < 20 * _SIZE
+def test_content_of_a_change_is_not_sent_whole_to_each_instance():
+    _, transferred_bytes = simulated_loop.run(_simulate_two_changes(7))
+    # It is 76 MB if each instance reads both changes from the store.
+    assert transferred_bytes < 20 * _SIZE_BYTES
 
 
-async def _play_blind(seed):
+async def _simulate_disconnection(seed):
     world = _make_world(seed)
     await asyncio.sleep(10.0)
     holder = f"g{world.find_holder()}"
     others = {i.options.name for i in world.instances.values()} - {holder}
-    world.faults.cut_off = set(sorted(others)[:15])
+    world.faults.disconnected = set(sorted(others)[:15])
     await asyncio.sleep(1.0)
     seconds = await _put(world, 2)
     world.stop()
@@ -96,12 +95,14 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_instance_that_the_store_turns_away_gets_it_from_others(seed):
-    assert simulated_loop.run(_play_blind(seed)) < _BOUND / 2
+def test_instance_disconnected_from_the_store_gets_it_from_others(seed):
+    assert (
+        simulated_loop.run(_simulate_disconnection(seed)) < _BOUND_SECONDS / 2
+    )
 
 
-async def _play_lost_holder(seed):
-    """Kills the holder as soon as it has a change."""
+async def _simulate_holder_crash(seed):
+    """Kills the lease holder as soon as it has a change."""
     world = _make_world(seed)
     await asyncio.sleep(10.0)
     put = asyncio.create_task(_put(world, 2))
@@ -116,5 +117,5 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_change_is_in_force_in_time_though_the_holder_dies(seed):
-    assert simulated_loop.run(_play_lost_holder(seed)) < _BOUND
+def test_change_is_in_force_in_time_though_the_holder_crashes(seed):
+    assert simulated_loop.run(_simulate_holder_crash(seed)) < _BOUND_SECONDS
--- a/tests/stateful/test_tracked_engine_machine.py
+++ b/tests/stateful/test_tracked_engine_machine.py
@@ -1,8 +1,8 @@
-"""An engine's memory against what holders believe of it.
+"""The memory of an engine against the state that lease holders track.
 
-The oracle is an engine that carries orders out, at once or late, and tells its
-list entry and its reports with a lag. Holders change at any moment. Whatever
-they do, the engine must never be ordered over its memory or its places.
+The oracle is an engine that carries out orders, at once or late, and publishes
+its list entry and its reports with a lag. The holder may change at any time. No
+sequence of orders may exceed the memory or the adapter slots of the engine.
 """
 
 import hypothesis
@@ -15,14 +15,14 @@
 
 MODELS = ("m1", "m2", "m3", "m4")
 ADAPTERS = ("a1", "a2", "a3")
-ROOM = 2
-PLACES = 2
-# How old an engine's reports may be, seconds: some hundred milliseconds.
-REPORT_LAG = 1.0
+MAX_MODELS = 2
+ADAPTER_SLOTS = 2
+# Greatest age of a report.
+REPORT_LAG_SECONDS = 1.0
 
 
 class Engine:
-    """The truth: what it holds, and how many orders it has taken."""
+    """The oracle: what the engine holds, and how many orders it has taken."""
 
     def __init__(self):
         self.models = {"m1": frozenset()}
@@ -60,9 +60,11 @@
 
     def check(self):
         count = len(self.models) + (self.loading is not None)
-        assert count <= ROOM, "ordered over its memory"
-        places = sum(len(a) for a in self.models.values())
-        assert places <= PLACES, "ordered over its places"
+        assert count <= MAX_MODELS, "orders exceed the memory of the engine"
+        slots = sum(len(a) for a in self.models.values())
+        assert slots <= ADAPTER_SLOTS, (
+            "orders exceed the adapter slots of the engine"
+        )
 
     def state(self):
         return fleet.EngineState(
@@ -70,8 +72,8 @@
         )
 
 
-class BookMachine(stateful.RuleBasedStateMachine):
-    """A holder with its book, replaced now and then by another."""
+class TrackedEngineMachine(stateful.RuleBasedStateMachine):
+    """A lease holder with its tracked engine; another one may replace it."""
 
     def __init__(self):
         super().__init__()
@@ -91,11 +93,11 @@
             "e", "s", "a", "h", models=self.states[self.entry_at].models
         )
 
-    def note_truth(self):
+    def record_state(self):
         self.replaced_at.append(self.now)
         self.states.append(self.engine.state())
 
-    # What happens outside
+    # Engine, store and time
 
     @stateful.rule(seconds=st.floats(0, 3))
     def time_passes(self, seconds):
@@ -104,17 +106,17 @@
     @stateful.rule()
     def engine_finishes(self):
         self.engine.finish()
-        self.note_truth()
+        self.record_state()
 
     @stateful.precondition(lambda self: self.late)
     @stateful.rule()
     def late_order_arrives(self):
         self.engine.take(self.late.pop(0))
-        self.note_truth()
+        self.record_state()
 
     @stateful.rule(skip=st.integers(0, 3))
     def list_follows(self, skip):
-        # An old heartbeat may arrive after a newer one.
+        # A stale entry may arrive after a newer one.
         self.entry_at = max(len(self.states) - 1 - skip, 0)
         self.tracked_engine.apply_entry(self.entry(), self.now)
 
@@ -124,11 +126,11 @@
         self.tracked_engine.apply_entry(self.entry(), self.now)
         self.tracked_engine.pending = self.claimed
 
-    # What a holder does
+    # Lease holder
 
     @stateful.rule(age=st.integers(0, 4))
     def report(self, age):
-        # A report may be some states old, but no more than the lag allows.
+        # A report may be `age` states old, limited by `REPORT_LAG_SECONDS`.
         index = len(self.states) - 1
         while age and index and self.is_recent(index - 1):
             index -= 1
@@ -141,7 +143,7 @@
             self.settle(pending)
 
     def is_recent(self, index):
-        return self.now - self.replaced_at[index] < REPORT_LAG
+        return self.now - self.replaced_at[index] < REPORT_LAG_SECONDS
 
     def settle(self, pending):
         self.tracked_engine.pending = None
@@ -172,7 +174,7 @@
             self.late.append(pending)
             return
         is_taken = self.engine.take(pending)
-        self.note_truth()
+        self.record_state()
         if way == "lost_answer":
             return
         self.tracked_engine.pending = None
@@ -185,24 +187,24 @@
         if (model, adapter) in charged:
             return False
         if adapter:
-            places = sum(1 for _, a in charged if a)
-            return (model, "") in charged and places < PLACES
-        return sum(1 for _, a in charged if not a) < ROOM
+            slots = sum(1 for _, a in charged if a)
+            return (model, "") in charged and slots < ADAPTER_SLOTS
+        return sum(1 for _, a in charged if not a) < MAX_MODELS
 
     @stateful.precondition(lambda self: self.tracked_engine.pending is not None)
     @stateful.rule(is_lost=st.booleans())
     def repeat(self, is_lost):
         if not is_lost:
             self.engine.take(self.tracked_engine.pending)
-            self.note_truth()
+            self.record_state()
 
     @stateful.invariant()
     def memory_holds(self):
         self.engine.check()
 
 
-TestBook = BookMachine.TestCase
-TestBook.settings = hypothesis.settings(
+TestTrackedEngineMachine = TrackedEngineMachine.TestCase
+TestTrackedEngineMachine.settings = hypothesis.settings(
     max_examples=300, stateful_step_count=60
 )
 
@@ -215,4 +217,4 @@
         engine.take(lease.Pending("e", 1, lease.Action.LOAD, "m3"))
     except AssertionError:
         return
-    raise AssertionError("the oracle is blind")
+    raise AssertionError("the oracle missed an order that exceeds the memory")
